--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -17,51 +17,54 @@
 from itertools import count
 from statistics import median
 
-from hoplane.core import events as ev
-from hoplane.core.ledger import Ledger
-from hoplane.core.reducer import Conductor, reduce
-from hoplane.decision import interface as api
-from hoplane.decision.rules import Router
+from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.endpoint import Endpoint
+from llm_router.lifecycle.events import ReservationOutcome
+from llm_router.lifecycle.idempotency_registry import IdempotencyRegistry
+from llm_router.lifecycle.reducer import RouterState, reduce
+from llm_router.routing import actions as routing_actions
+from llm_router.routing import events as routing_events
+from llm_router.routing.events import AttemptStatus, EndpointStatus
+from llm_router.routing.policy import RoutingPolicy
+from llm_router.routing.settings import ClassSettings, Idempotency, KindSettings, Role, Settings
 
 MS, SECOND = 1_000_000, 1_000_000_000
 CELL = 6  # endpoints
 REQUEST_GAP = 30 * MS  # between two requests, as a busy conductor has them
 WARM_UP, ROUNDS = 100, 300
 CHANGES = 60
-ROLES = {"prefill": api.Role.READ, "decode": api.Role.WRITE}
+ROLES = {"prefill": Role.PREFILL, "decode": Role.DECODE}
 
 
-def settings(routers: int) -> api.Settings:
+def settings(routers: int) -> Settings:
     """Give a customer's settings with one class."""
-    return api.Settings(
-        kinds=tuple(api.KindSettings(name, role, 200_000) for name, role in ROLES.items()),
-        classes=(api.ClassSettings("chat", 1500 * MS, 7500 * MS, api.Effect.SAFE),),
-        routers=routers,
-        tick=4 * MS,
-        cancel=True,
+    return Settings(
+        kinds=tuple(KindSettings(name, role, 200_000) for name, role in ROLES.items()),
+        classes=(ClassSettings("chat", 1500 * MS, 7500 * MS, Idempotency.SAFE),),
+        router_count=routers,
+        timer_resolution=4 * MS,
+        may_cancel=True,
         max_attempts=4,
-        ahead=True,
-        writers_read=True,
-        release_within=300 * MS,
-        cold=11 * SECOND,
-        cold_share=0.28,
-        fall_multiple=2.5,
-        fall=2 * SECOND,
+        reservations=True,
+        append_prefill=True,
+        release_timeout=300 * MS,
+        slow_start_window=11 * SECOND,
+        slow_start_share=0.28,
+        overload_factor=2.5,
+        overload_window=2 * SECOND,
         drain_grace=SECOND,
     )
 
 
-def endpoint(number: int, state: api.State = api.State.LIVE) -> ev.Endpoint:
+def endpoint(number: int, state: EndpointStatus = EndpointStatus.READY) -> Endpoint:
     """Give an endpoint of a fleet, half of each role in each cell."""
     kind = "prefill" if number % 2 else "decode"
-    return ev.Endpoint(
-        f"s-{number:06d}", f"127.0.0.1:{1 + number % 60_000}", "z", kind, number // CELL, state
-    )
+    return Endpoint(f"s-{number:06d}", f"127.0.0.1:{1 + number % 60_000}", "z", kind, number // CELL, state)
 
 
-def entry(told: ev.Endpoint, number: int) -> api.Entry:
+def entry(told: Endpoint, number: int) -> routing_events.EndpointEntry:
     """Give an endpoint as the decisions know it."""
-    return api.Entry(number, told.kind, told.zone, told.cell, told.state)
+    return routing_events.EndpointEntry(number, told.kind, told.zone, told.cell, told.status)
 
 
 @dataclass(slots=True)
@@ -77,32 +80,42 @@
     """The router alone."""
 
     def __init__(self, size: int, routers: int) -> None:
-        self.router = Router(settings(routers), seed=7)
+        self.router = RoutingPolicy(settings(routers), seed=7)
         self.now, self.ids, self.size = 1000 * SECOND, count(), size
         told = [endpoint(number) for number in range(size)]
-        self.router.handle(self.now, api.Fleet(tuple(entry(e, n) for n, e in enumerate(told)), whole=True))
+        self.router.handle(
+            self.now,
+            routing_events.EndpointListUpdate(tuple(entry(e, n) for n, e in enumerate(told)), is_full=True),
+        )
 
-    def send(self, event: api.Event) -> api.Send:
+    def send(self, event: routing_events.Event) -> routing_actions.StartAttempt:
         """Play an event that makes the router send."""
-        return next(a for a in self.router.handle(self.now, event) if isinstance(a, api.Send))
+        return next(
+            a for a in self.router.handle(self.now, event) if isinstance(a, routing_actions.StartAttempt)
+        )
 
     def request(self) -> None:
         """Play a request to its end."""
         self.now += REQUEST_GAP
         id = f"r{next(self.ids)}"
-        read = self.send(api.Request(id, "chat", 2000, 200, 7500 * MS, session=id))
+        read = self.send(routing_events.RequestReceived(id, "chat", 2000, 200, 7500 * MS, session=id))
         self.now += MS
-        write = self.send(api.Outcome(id, 0, read.server, api.Status.MISS, MS))
+        write = self.send(routing_events.AttemptEnded(id, 0, read.endpoint_id, AttemptStatus.PREFILLED, MS))
         self.now += MS
-        self.router.handle(self.now, api.FirstToken(id, 1, write.server, MS))
-        self.router.handle(self.now, api.Outcome(id, 1, write.server, api.Status.OK, 2 * MS, closed=True))
+        self.router.handle(self.now, routing_events.FirstToken(id, 1, write.endpoint_id, MS))
+        self.router.handle(
+            self.now,
+            routing_events.AttemptEnded(
+                id, 1, write.endpoint_id, AttemptStatus.OK, 2 * MS, request_closed=True
+            ),
+        )
 
     def change(self) -> None:
         """Replace one endpoint by another."""
         number = next(self.ids)
-        old, new = endpoint(number % self.size, api.State.GONE), endpoint(self.size + number)
+        old, new = endpoint(number % self.size, EndpointStatus.REMOVED), endpoint(self.size + number)
         entries = entry(old, number % self.size), entry(new, self.size + number)
-        self.router.handle(self.now, api.Fleet(entries, whole=False))
+        self.router.handle(self.now, routing_events.EndpointListUpdate(entries, is_full=False))
 
 
 class Core:
@@ -110,36 +123,38 @@
 
     def __init__(self, size: int, routers: int) -> None:
         told = settings(routers)
-        self.state = Conductor(told, Router(told, seed=7), Ledger(9, timedelta(minutes=10)))
+        self.state = RouterState(
+            told, RoutingPolicy(told, seed=7), IdempotencyRegistry(9, timedelta(minutes=10))
+        )
         self.now, self.ids, self.size = timedelta(seconds=1000), count(), size
-        self.do(ev.Listed(tuple(endpoint(number) for number in range(size)), True))
+        self.do(events.EndpointListReceived(tuple(endpoint(number) for number in range(size)), True))
 
-    def do(self, event: ev.Event) -> list[ev.Effect]:
+    def do(self, event: events.Event) -> list[effects.Effect]:
         """Play an event."""
         return reduce(self.state, self.now, event)
 
-    def forward(self, event: ev.Event) -> ev.Forward:
+    def forward(self, event: events.Event) -> effects.OpenAttempt:
         """Play an event that makes the core forward."""
-        return next(effect for effect in self.do(event) if isinstance(effect, ev.Forward))
+        return next(effect for effect in self.do(event) if isinstance(effect, effects.OpenAttempt))
 
     def request(self) -> None:
         """Play a request to its end."""
         self.now += timedelta(milliseconds=30)
         id = f"r{next(self.ids)}"
-        self.forward(ev.Asked(id, "chat", 2000, 200, timedelta(seconds=7.5), session=id))
-        self.do(ev.Sent(id, 0))
+        self.forward(events.RequestReceived(id, "chat", 2000, 200, timedelta(seconds=7.5), session=id))
+        self.do(events.AttemptWritten(id, 0))
         self.now += timedelta(milliseconds=1)
-        self.forward(ev.Ended(id, 0, api.Status.MISS))
-        self.do(ev.ReservationEnded(id, 0, ev.Reservation.NOT_HELD))
-        self.do(ev.Sent(id, 1))
-        self.do(ev.Began(id, 1))
-        self.do(ev.Ended(id, 1, api.Status.OK))
+        self.forward(events.AttemptEnded(id, 0, AttemptStatus.PREFILLED))
+        self.do(events.ReservationEnded(id, 0, ReservationOutcome.REJECTED))
+        self.do(events.AttemptWritten(id, 1))
+        self.do(events.ResponseStarted(id, 1))
+        self.do(events.AttemptEnded(id, 1, AttemptStatus.OK))
 
     def change(self) -> None:
         """Replace one endpoint by another."""
         number = next(self.ids)
-        old, new = endpoint(number % self.size, api.State.GONE), endpoint(self.size + number)
-        self.do(ev.Listed((old, new), False))
+        old, new = endpoint(number % self.size, EndpointStatus.REMOVED), endpoint(self.size + number)
+        self.do(events.EndpointListReceived((old, new), False))
 
 
 def clock(work: Callable[[], None], rounds: int) -> float:
--- a/benchmarks/fleet_footprint.py
+++ b/benchmarks/fleet_footprint.py
@@ -17,12 +17,12 @@
 from dataclasses import astuple, dataclass
 from pathlib import Path
 
-from hoplane.emulator.clients import Clients
-from hoplane.emulator.conductors import Conductor
-from hoplane.emulator.discovery import Registry
-from hoplane.emulator.endpoints import Endpoint
-from hoplane.emulator.oracle import Oracle
-from hoplane.emulator.soak import CLASSES, DRAIN_GRACE, RELEASE_WITHIN, settings
+from llm_router.emulator.clients import Clients
+from llm_router.emulator.conductors import Conductor
+from llm_router.emulator.discovery import Registry
+from llm_router.emulator.endpoints import Endpoint
+from llm_router.emulator.oracle import Oracle
+from llm_router.emulator.soak import CLASSES, DRAIN_GRACE, RELEASE_WITHIN, settings
 
 CONDUCTORS = 200
 WARM_UP = 5.0  # seconds before anything is measured
--- a/hoplane/config.py
+++ b/llm_router/configuration.py
@@ -10,130 +10,133 @@
 
 import orjson
 
-from hoplane.adapter import WireError, read_settings
-from hoplane.decision.interface import Settings
+from llm_router.field_codec import FieldError
+from llm_router.routing.settings import Settings
+from llm_router.settings_codec import read_settings
 
 MEGABYTE = 1 << 20
-BODY_MOST = 256 * 1024  # the protocol's bound on a body
+MAX_BODY_BYTES = 256 * 1024  # the protocol's bound on a body
 WHOLE_MOST = 10**15  # of any whole number that is told: eleven days in nanoseconds
 BASE = 52 * MEGABYTE  # what the program takes with no request open, measured at 48
 
 
-class ConfigError(Exception):
+class ConfigurationError(Exception):
     """What is wrong, with the key in front."""
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class ResourceLimits:
     """What the process may use."""
 
-    memory: int
+    memory_bytes: int
     sockets: int
 
     @property
-    def spare(self) -> int:
+    def spare_sockets(self) -> int:
         """Descriptors for all else: discovery, the log, and clients that are turned away."""
         return min(64, self.sockets // 4)
 
     @property
-    def clients(self) -> int:
+    def client_sockets(self) -> int:
         """Client connections: at most a third, as a request may need two to endpoints."""
         return self.sockets // 3
 
     @property
-    def turned_away(self) -> int:
+    def rejected_clients(self) -> int:
         """Client connections over that bound which get their refusal."""
-        return self.spare // 2
+        return self.spare_sockets // 2
 
     @property
-    def upstreams(self) -> int:
+    def upstream_sockets(self) -> int:
         """Connections to endpoints, idle ones included."""
-        return self.sockets - self.clients - self.spare
+        return self.sockets - self.client_sockets - self.spare_sockets
 
     @property
-    def bodies(self) -> int:
+    def body_memory(self) -> int:
         """Bytes of request bodies held at once, which count twice for the copies on their way out."""
-        return max(8 * BODY_MOST, min(self.memory // 8, (self.memory - BASE) // 4))
+        return max(8 * MAX_BODY_BYTES, min(self.memory_bytes // 8, (self.memory_bytes - BASE) // 4))
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class RouterConfig:
     """All that a conductor is told."""
 
     name: str
     listen: tuple[str, int]
     settings: Settings
     seed: int
-    limits: Limits
+    limits: ResourceLimits
     discovery: tuple[str, int] | None = None
-    known: dict = field(default_factory=dict)
+    initial_endpoints: dict = field(default_factory=dict)
     connect_timeout: timedelta = timedelta(milliseconds=250)
-    conn_idle: timedelta = timedelta(seconds=15)
-    max_open: int = 20_000
-    ledger_most: int = 50_000  # ids that must not run twice, and how long they are remembered
-    ledger_keep: timedelta = timedelta(minutes=10)
-    files: tuple[Path, ...] = ()  # clusters and endpoints in xDS form, for the v2 front
+    idle_timeout: timedelta = timedelta(seconds=15)
+    max_open_requests: int = 20_000
+    idempotency_capacity: int = 50_000  # ids that must not run twice, and how long they are remembered
+    idempotency_retention: timedelta = timedelta(minutes=10)
+    xds_files: tuple[Path, ...] = ()  # clusters and endpoints in xDS form, for the v2 front
 
 
 RELOADED = ("discovery", "files", "limits")  # what a reload puts in force; the rest waits for a start
 IGNORED = ("seed", "known")  # what is new with each start, and of no use to a reload
 
 
-def load(environ: Mapping[str, str], file: Path | None = None, again: bool = False) -> Config:
+def load_configuration(
+    environ: Mapping[str, str], file: Path | None = None, again: bool = False
+) -> RouterConfig:
     """Read what the platform tells, or a file of ours for the v2 front; `again` for a reload."""
     if file is not None:
-        return from_file(file)
+        return file_configuration(file)
     try:
         raw = orjson.loads(Path(environ.get("EDGE_CONFIG", "")).read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
-        raise ConfigError(f"EDGE_CONFIG: {error}") from None
+        raise ConfigurationError(f"EDGE_CONFIG: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError("EDGE_CONFIG: must be an object")
+        raise ConfigurationError("EDGE_CONFIG: must be an object")
     for key, name in (("name", "EDGE_NAME"), ("listen", "EDGE_LISTEN"), ("discovery", "EDGE_DISCOVERY")):
         # Guards against an environment as old as the process, which must not hide a reload's new address.
         if environ.get(name) and not (again and key in RELOADED):
             raw[key] = environ[name]
-    return platform(raw)
+    return platform_configuration(raw)
 
 
-def platform(raw: dict) -> Config:
+def platform_configuration(raw: dict) -> RouterConfig:
     """Check the platform's configuration."""
     told = group(raw, "settings", needed=True)
     allowed = group(told, "allowed", "settings.")
-    return Config(
+    return RouterConfig(
         name=text(raw, "name"),
         listen=address(raw, "listen"),
         discovery=address(raw, "discovery"),
         settings=settings(told, "settings."),
         seed=seed(raw.get("seed", 0)),
         limits=limits(group(raw, "limits")),
-        known=group(raw, "known"),
+        initial_endpoints=group(raw, "known"),
         connect_timeout=nanoseconds(allowed, "connect_timeout", 250_000_000, "settings.allowed."),
-        conn_idle=nanoseconds(allowed, "conn_idle", 15_000_000_000, "settings.allowed."),
-        max_open=whole(allowed, "max_open", 20_000, 1, "settings.allowed."),
+        idle_timeout=nanoseconds(allowed, "conn_idle", 15_000_000_000, "settings.allowed."),
+        max_open_requests=whole(allowed, "max_open", 20_000, 1, "settings.allowed."),
     )
 
 
-def from_file(path: Path) -> Config:
+def file_configuration(path: Path) -> RouterConfig:
     """Check a file of ours, in TOML; relative paths in it count from its folder."""
     try:
         raw = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise ConfigError(f"{path.name}: {error}") from None
+        raise ConfigurationError(f"{path.name}: {error}") from None
     files = group(raw, "xds", needed=True)
     told = group(raw, "settings", needed=True)
     upstream, ledger = group(raw, "upstream"), group(raw, "ledger")
-    return Config(
+    return RouterConfig(
         name=text(raw, "name"),
         listen=address(raw, "listen"),
         settings=settings(told, "settings."),
         seed=seed(raw.get("seed", 0)),
         limits=limits(group(raw, "limits")),
         connect_timeout=milliseconds(upstream, "connect_timeout_ms", 250, "upstream."),
-        conn_idle=milliseconds(upstream, "idle_ms", 15_000, "upstream."),
-        ledger_most=whole(ledger, "ids", 50_000, 1, "ledger."),
-        ledger_keep=timedelta(seconds=whole(ledger, "keep_s", 600, 1, "ledger.")),
-        files=tuple(path.parent / text(files, key, "xds.") for key in ("clusters", "endpoints")),
+        idle_timeout=milliseconds(upstream, "idle_ms", 15_000, "upstream."),
+        idempotency_capacity=whole(ledger, "ids", 50_000, 1, "ledger."),
+        idempotency_retention=timedelta(seconds=whole(ledger, "keep_s", 600, 1, "ledger.")),
+        xds_files=tuple(path.parent / text(files, key, "xds.") for key in ("clusters", "endpoints")),
     )
 
 
@@ -141,8 +144,8 @@
     """Check the settings, whose names and units are the simulator's."""
     try:
         return read_settings(dict(flatten(told)))
-    except (WireError, ValueError) as error:
-        raise ConfigError(f"{where}{error}") from None
+    except (FieldError, ValueError) as error:
+        raise ConfigurationError(f"{where}{error}") from None
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
@@ -162,10 +165,10 @@
         yield path, str(value)
 
 
-def limits(raw: dict) -> Limits:
+def limits(raw: dict) -> ResourceLimits:
     """Check the limits."""
-    return Limits(
-        memory=whole(raw, "memory_mb", 192, 32, "limits.") * MEGABYTE,
+    return ResourceLimits(
+        memory_bytes=whole(raw, "memory_mb", 192, 32, "limits.") * MEGABYTE,
         sockets=whole(raw, "sockets", 1024, 64, "limits."),
     )
 
@@ -176,7 +179,7 @@
     if value is None and not needed:
         return {}
     if not isinstance(value, dict):
-        raise ConfigError(f"{where}{key}: " + ("is missing" if value is None else "must be an object"))
+        raise ConfigurationError(f"{where}{key}: " + ("is missing" if value is None else "must be an object"))
     return value
 
 
@@ -184,7 +187,7 @@
     """Give a text that must be there."""
     value = raw.get(key)
     if not isinstance(value, str) or not value:
-        raise ConfigError(f"{where}{key}: " + ("is missing" if value is None else "must be a text"))
+        raise ConfigurationError(f"{where}{key}: " + ("is missing" if value is None else "must be a text"))
     return value
 
 
@@ -193,9 +196,9 @@
     value = raw.get(key, default)
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if not number or (isinstance(value, float) and not value.is_integer()):
-        raise ConfigError(f"{where}{key}: must be a whole number")
+        raise ConfigurationError(f"{where}{key}: must be a whole number")
     if not least <= value <= WHOLE_MOST:
-        raise ConfigError(f"{where}{key}: must be at least {least} and at most {WHOLE_MOST}")
+        raise ConfigurationError(f"{where}{key}: must be at least {least} and at most {WHOLE_MOST}")
     return int(value)
 
 
@@ -213,7 +216,7 @@
     """Give a host and port."""
     host, sign, port = text(raw, key).rpartition(":")
     if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{key}: must be HOST:PORT")
+        raise ConfigurationError(f"{key}: must be HOST:PORT")
     return host.strip("[]"), int(port)
 
 
@@ -222,4 +225,4 @@
     try:
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError:
-        raise ConfigError("seed: must be a number in hex") from None
+        raise ConfigurationError("seed: must be a number in hex") from None
--- a/hoplane/emulator/clients.py
+++ b/llm_router/emulator/clients.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from itertools import count
 
-from hoplane.emulator.conductors import Conductor
-from hoplane.emulator.http import Message, message, read_head
-from hoplane.emulator.oracle import Effect, Oracle
+from llm_router.emulator.conductors import Conductor
+from llm_router.emulator.http import Message, message, read_head
+from llm_router.emulator.oracle import Effect, Oracle
 
 BODY = b'{"stream":true,"max_tokens":20,"messages":[]}'
 PATIENCE_MS = (250, 900, 2500, 4000)
--- a/hoplane/emulator/conductors.py
+++ b/llm_router/emulator/conductors.py
@@ -12,10 +12,10 @@
 
 import orjson
 
-from hoplane.emulator.discovery import Agent, Registry
-from hoplane.emulator.failing_calls import PLAN
-from hoplane.emulator.http import message, read_message
-from hoplane.emulator.oracle import Oracle, Rule
+from llm_router.emulator.discovery import Agent, Registry
+from llm_router.emulator.failing_calls import PLAN
+from llm_router.emulator.http import message, read_message
+from llm_router.emulator.oracle import Oracle, Rule
 
 READY_WITHIN = 10.0  # seconds from a start
 KILL_AFTER = 8.7  # seconds from SIGTERM to SIGKILL: more than the longest deadline and 0.7 s
@@ -24,12 +24,12 @@
 KEEP_COMING = 0.3  # seconds after SIGTERM for which clients open new connections
 FAULTS = (  # lines that tell of a fault of the conductor's own
     "library",
-    "task_broke",
+    "task_failed",
     "task_restarted",
-    "request_broke",
-    "relay_broke",
-    "loop_fault",
-    "invariant_broken",
+    "request_handler_failed",
+    "relay_failed",
+    "event_loop_error",
+    "invariant_violated",
 )
 
 
@@ -90,7 +90,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "hoplane.emulator.failing_calls",
+            "llm_router.emulator.failing_calls",
             env=environ,
             stderr=asyncio.subprocess.PIPE,
             limit=LINE_MOST,
--- a/hoplane/emulator/discovery.py
+++ b/llm_router/emulator/discovery.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from hoplane.emulator.http import message, read_message
-from hoplane.emulator.oracle import Oracle
+from llm_router.emulator.http import message, read_message
+from llm_router.emulator.oracle import Oracle
 
 FIRST_INDEX = 1
 
--- a/hoplane/emulator/endpoints.py
+++ b/llm_router/emulator/endpoints.py
@@ -8,9 +8,9 @@
 from collections import deque
 from enum import Enum, auto
 
-from hoplane.emulator.http import LAST_CHUNK, STREAM_HEAD, Message, chunk, message, read_message
-from hoplane.emulator.oracle import Oracle, Rule, slow_start_budget
-from hoplane.emulator.proxy import FaultProxy
+from llm_router.emulator.http import LAST_CHUNK, STREAM_HEAD, Message, chunk, message, read_message
+from llm_router.emulator.oracle import Oracle, Rule, slow_start_budget
+from llm_router.emulator.proxy import FaultProxy
 
 READ_TIME = (0.005, 0.06)  # seconds that a prefill takes, drawn evenly
 FIRST_TOKEN = (0.005, 0.05)  # seconds to a decode attempt's first token
--- a/hoplane/emulator/failing_calls.py
+++ b/llm_router/emulator/failing_calls.py
@@ -1,6 +1,6 @@
 """Runs a conductor whose system calls fail, and whose wall clock is wrong, as a plan says.
 
-    HOPLANE_FAULT_PLAN='{"calls": [...]}' python -m hoplane.emulator.failing_calls [FILE]
+    LLM_ROUTER_FAULT_PLAN='{"calls": [...]}' python -m llm_router.emulator.failing_calls [FILE]
 
 The plan is a JSON object. `wall_clock_offset_s` moves the wall clock. Each entry of `calls` makes one fail:
 `call` (accept, connect, socket or send), `errors` (names of `errno`, drawn at random), `one_in` (how often,
@@ -20,7 +20,7 @@
 
 import orjson
 
-PLAN = "HOPLANE_FAULT_PLAN"
+PLAN = "LLM_ROUTER_FAULT_PLAN"
 CALLS = ("accept", "connect", "socket", "send")
 
 
@@ -120,7 +120,7 @@
 def main(arguments: list[str]) -> int:
     """Put the plan of the environment in force and run a conductor."""
     FailingCalls(FaultPlan.read(os.environ.get(PLAN, "{}"))).install()
-    from hoplane.__main__ import main as run
+    from llm_router.__main__ import main as run
 
     return run(arguments)
 
--- a/hoplane/emulator/soak.py
+++ b/llm_router/emulator/soak.py
@@ -1,6 +1,6 @@
 """A randomized fault soak: real conductors on loopback, troubles that overlap, and the oracle's verdict.
 
-    python -m hoplane.emulator.soak --seed 1 --seconds 30 --conductors 10
+    python -m llm_router.emulator.soak --seed 1 --seconds 30 --conductors 10
 
 The seed draws the traffic and the troubles; processes and sockets are real, so two runs are alike and not the
 same. Ends with status 1 where a rule was broken, and prints each break with the troubles of its time."""
@@ -18,11 +18,11 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from hoplane.emulator.clients import Clients
-from hoplane.emulator.conductors import Conductor
-from hoplane.emulator.discovery import Registry
-from hoplane.emulator.endpoints import Endpoint, Mood
-from hoplane.emulator.oracle import Break, Effect, Oracle
+from llm_router.emulator.clients import Clients
+from llm_router.emulator.conductors import Conductor
+from llm_router.emulator.discovery import Registry
+from llm_router.emulator.endpoints import Endpoint, Mood
+from llm_router.emulator.oracle import Break, Effect, Oracle
 
 CLASSES = {"lookup": Effect.SAFE, "booking": Effect.UNSAFE}
 DEADLINE_S = 4.0
@@ -364,7 +364,7 @@
 
 def main(arguments: list[str]) -> int:
     """Run soaks of one or more seeds."""
-    parser = argparse.ArgumentParser(prog="hoplane.emulator.soak", description=__doc__)
+    parser = argparse.ArgumentParser(prog="llm_router.emulator.soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1, help="how many seeds in a row")
     parser.add_argument("--seconds", type=float, default=30)
--- a/hoplane/fronts/kserve.py
+++ b/llm_router/frontends/kserve.py
@@ -12,14 +12,16 @@
 import orjson
 from aiohttp import web
 
-from hoplane import __version__
-from hoplane.config import Config
-from hoplane.core.events import Asked, Forward, Left, Listed
-from hoplane.decision.interface import ClassSettings, Effect, Role, State, Status
-from hoplane.net.pool import Pool
-from hoplane.net.runtime import Runtime
-from hoplane.net.server import MARGIN, Server, retry_after, target
-from hoplane.net.wire import Call, Verdict
+from llm_router import __version__
+from llm_router.configuration import RouterConfig
+from llm_router.lifecycle.effects import OpenAttempt
+from llm_router.lifecycle.events import ClientDisconnected, EndpointListReceived, RequestReceived
+from llm_router.routing.events import AttemptStatus, EndpointStatus
+from llm_router.routing.settings import ClassSettings, Idempotency, Role
+from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
+from llm_router.transport.pool import ConnectionPool
+from llm_router.transport.runtime import Runtime
+from llm_router.transport.server import MARGIN, FrontendServer, retry_after, target
 
 MODEL = re.compile(r"/v2/models/([^/]+)(?:/versions/[^/]+)?(/ready|/infer)?")
 JSON_SIZE = "Inference-Header-Content-Length"  # how much of a body is JSON, where tensors follow in binary
@@ -73,7 +75,7 @@
     return value
 
 
-def read_asked(number: str, read: dict, size: int, classes: Mapping[str, ClassSettings]) -> Asked:
+def read_asked(number: str, read: dict, size: int, classes: Mapping[str, ClassSettings]) -> RequestReceived:
     """Translate an inference request; its parameters carry what the core needs to know."""
     told = read.get("parameters", {})
     if not isinstance(told, dict):
@@ -86,10 +88,10 @@
     cls, id = classes[name], read.get("id")
     if id is not None and (not isinstance(id, str) or not 0 < len(id) <= 256):
         raise ValueError("id: must be a text of 1 to 256 characters")
-    if id is None and cls.effect is not Effect.SAFE:
+    if id is None and cls.idempotency is not Idempotency.SAFE:
         raise ValueError(f"id: is needed, as requests of the class {name} must not run twice")
     patience = timedelta(milliseconds=fact(told, "time_left_ms", int, cls.deadline // 1_000_000))
-    return Asked(
+    return RequestReceived(
         number,
         name,
         fact(told, "prompt_len", int, size // 4),
@@ -100,29 +102,29 @@
         fact(told, "prefix_len", int, 0),
         None,
         fact(told, "repeat", bool, False),
-        once=None if cls.effect is Effect.SAFE else id,
+        idempotency_key=None if cls.idempotency is Idempotency.SAFE else id,
     )
 
 
-def read_head(status: int, headers: Mapping[str, str]) -> Verdict:
+def read_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
     """Tell what an endpoint's answer means; what is not known for sure may have run."""
     if headers.get(NOT_RUN) == "1":
-        return Verdict(Status.FULL)
+        return ResponseHead(AttemptStatus.OVERLOADED)
     if status == 200 or (status in PASSED and status not in NOT_PASSED):
-        return Verdict(None)
-    return Verdict(Status.ERROR)
+        return ResponseHead(None)
+    return ResponseHead(AttemptStatus.ERROR)
 
 
-class WholeSink:
+class BufferedResponseSink:
     """Passes an answer on once it is whole."""
 
-    whole = True
+    buffered = True
 
     def __init__(self) -> None:
         self.done: asyncio.Future = asyncio.get_running_loop().create_future()
         self.status, self.headers, self.data = 200, {}, b""
 
-    def sound(self, data: bytes) -> bool:
+    def is_complete(self, data: bytes) -> bool:
         """Tell whether an answer is all there: one that ends with its connection tells no length."""
         try:
             json_part(self.headers, data)
@@ -147,26 +149,26 @@
             self.done.set_result(response)
 
 
-class Exchange:
+class KServeRequest:
     """One client's request on this front."""
 
-    def __init__(self, request: web.BaseRequest, asked: Asked, body: bytes) -> None:
-        self.asked, self.body, self.path = asked, body, target(request)
+    def __init__(self, request: web.BaseRequest, asked: RequestReceived, body: bytes) -> None:
+        self.received, self.body, self.path = asked, body, target(request)
         self.headers = {name: request.headers[name] for name in KEPT_HEADERS if name in request.headers}
-        self.sink = WholeSink()
+        self.sink = BufferedResponseSink()
 
-    def call(self, forward: Forward) -> Call:
-        return Call("POST", self.path, self.headers, self.body)
+    def upstream_request(self, forward: OpenAttempt) -> UpstreamRequest:
+        return UpstreamRequest("POST", self.path, self.headers, self.body)
 
-    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> Verdict:
+    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:
         self.sink.status = status
         self.sink.headers = {name: headers[name] for name in KEPT_HEADERS if name in headers}
         return read_head(status, headers)
 
-    def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
-        return self.asked.prefix_len, {}  # v2 endpoints do not tell what they found kept
+    def read_tail(self, tail: bytes) -> ResponseTail:
+        return ResponseTail(self.received.prefix_tokens)  # v2 endpoints do not tell what they found kept
 
-    def refuse(self, pause: timedelta) -> None:
+    def reject(self, pause: timedelta) -> None:
         self.sink.settle(problem(503, "refused: try again later", pause))
 
     def fail(self, clash: bool) -> None:
@@ -177,14 +179,14 @@
 class KServe:
     """The front for v2 clients: one conductor for each model, which is a cluster of that name."""
 
-    def __init__(self, config: Config, pool: Pool) -> None:
+    def __init__(self, config: RouterConfig, pool: ConnectionPool) -> None:
         self.config, self.pool = config, pool
         self.classes = {cls.name: cls for cls in config.settings.classes}
-        self.server = Server(config, self.handle, problem)
+        self.server = FrontendServer(config, self.handle, problem)
         self.models: dict[str, Runtime] = {}
         self.numbers = count(1)
 
-    def feed(self, name: str, listed: Listed) -> None:
+    def feed(self, name: str, listed: EndpointListReceived) -> None:
         """Take a cluster's list; a cluster seen for the first time is a new model."""
         if name not in self.models:
             self.models[name] = Runtime(self.config, self.pool)
@@ -199,8 +201,8 @@
     def ready(runtime: Runtime) -> bool:
         """Tell whether some endpoint may answer."""
         roles = {kind.name: kind.role for kind in runtime.config.settings.kinds}
-        fleet = runtime.state.fleet.values()
-        return any(e.state is State.LIVE and roles[e.kind] is not Role.READ for e in fleet)
+        fleet = runtime.state.endpoints.values()
+        return any(e.status is EndpointStatus.READY and roles[e.kind] is not Role.PREFILL for e in fleet)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request."""
@@ -220,35 +222,35 @@
             return answer({"name": found[1], "ready": ready}, 200 if ready else 503)
         if not infer:
             return await self.metadata(runtime, target(request))
-        size = self.server.size(request)
-        if not self.server.bodies.take(size):
+        size = self.server.body_size_bound(request)
+        if not self.server.body_memory.reserve(size):
             return problem(503, "too much at once", timedelta(seconds=1), close=True)
         try:
             return await self.infer(runtime, request)
         finally:
-            self.server.bodies.give(size)
+            self.server.body_memory.release(size)
 
     def about(self, path: str) -> web.Response:
         """Tell of the server as a whole."""
         if path.endswith("/live"):
             return answer({"live": True})
         if path.endswith("/ready"):
-            ready = not self.server.stopping and any(map(self.ready, self.models.values()))
+            ready = not self.server.shutting_down and any(map(self.ready, self.models.values()))
             return answer({"ready": ready}, 200 if ready else 503)
         return answer({"name": "hoplane", "version": __version__, "extensions": ["binary_tensor_data"]})
 
     async def metadata(self, runtime: Runtime, path: str) -> web.Response:
         """Pass on what an endpoint tells of the model."""
-        for endpoint in list(runtime.state.fleet.values()):
-            if endpoint.state is not State.LIVE:
+        for endpoint in list(runtime.state.endpoints.values()):
+            if endpoint.status is not EndpointStatus.READY:
                 continue
-            if got := await self.pool.get(endpoint.address, path, ASK_WAIT):
+            if got := await self.pool.fetch(endpoint.address, path, ASK_WAIT):
                 return web.Response(status=got[0], body=got[1], content_type="application/json")
         return problem(503, "no endpoint tells of this model", timedelta(seconds=1))
 
     async def infer(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
         """Take a request in and wait for its final answer."""
-        body = await self.server.read(request)
+        body = await self.server.read_body(request)
         if isinstance(body, web.Response):
             return problem(body.status, body.text.strip(), close=True)
         try:
@@ -256,18 +258,18 @@
             asked = read_asked(str(next(self.numbers)), read, len(body), self.classes)
         except ValueError as error:
             return problem(400, str(error), close=True)
-        await self.server.look_for_the_end(request)
-        if len(runtime.exchanges) >= self.config.max_open:
+        await self.server.detect_disconnect(request)
+        if len(runtime.proxied_requests) >= self.config.max_open_requests:
             return problem(503, "too much at once", timedelta(seconds=1), close=True)
         # Guards against working on for longer than the client waits.
-        left = max(timedelta(), asked.patience - self.server.waited(request))
-        asked = replace(asked, patience=left)
-        exchange = runtime.exchanges[asked.id] = Exchange(request, asked, body)
+        left = max(timedelta(), asked.time_remaining - self.server.queueing_delay(request))
+        asked = replace(asked, time_remaining=left)
+        exchange = runtime.proxied_requests[asked.request_id] = KServeRequest(request, asked, body)
         try:
             runtime.feed(asked)
             return await exchange.sink.done
         except asyncio.CancelledError:
-            runtime.feed(Left(asked.id))
+            runtime.feed(ClientDisconnected(asked.request_id))
             raise
         finally:
-            del runtime.exchanges[asked.id]
+            del runtime.proxied_requests[asked.request_id]
--- a/hoplane/fronts/platform.py
+++ b/llm_router/frontends/platform.py
@@ -13,12 +13,22 @@
 import orjson
 from aiohttp import web
 
-from hoplane.config import Config
-from hoplane.core.events import Asked, Forward, Left
-from hoplane.decision.interface import Status
-from hoplane.net.runtime import Runtime
-from hoplane.net.server import MARGIN, Relay, Server, StreamSink, problem, retry_after, target
-from hoplane.net.wire import Call, Verdict
+from llm_router.configuration import RouterConfig
+from llm_router.lifecycle.effects import OpenAttempt
+from llm_router.lifecycle.events import ClientDisconnected, RequestReceived
+from llm_router.load_gauges import report_of_gauges
+from llm_router.routing.events import NO_REPORT, AttemptStatus, LoadReport
+from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
+from llm_router.transport.runtime import Runtime
+from llm_router.transport.server import (
+    MARGIN,
+    EventStreamSink,
+    FrontendServer,
+    StreamedResponse,
+    problem,
+    retry_after,
+    target,
+)
 
 CHAT, READY, STATS = "/v1/chat/completions", "/health/ready", "/stats"
 ID, CLASS, SESSION = "X-Correlation-Id", "X-Service-Class", "X-Session-Key"
@@ -35,23 +45,23 @@
     return f"/v1/holds/{id}"
 
 
-def read_load(text: str) -> dict[str, float]:
+def read_load(text: str) -> LoadReport:
     """Translate a load report; what is no figure is left out."""
-    load = {}
+    load: dict[str, float] = {}
     for pair in text.split(","):
         name, _, value = pair.strip().partition("=")
         with suppress(ValueError):
             if isfinite(figure := float(value)):
                 load[name] = figure
-    return load
+    return report_of_gauges(load)
 
 
-def read_report(body: bytes) -> dict[str, float]:
+def read_report(body: bytes) -> LoadReport:
     """Translate the body that answers a probe."""
     return read_load(body.decode("latin-1"))
 
 
-def read_asked(headers: Mapping[str, str], classes: Mapping[str, object]) -> Asked:
+def read_asked(headers: Mapping[str, str], classes: Mapping[str, object]) -> RequestReceived:
     """Translate a request's headers; a ValueError names what is wrong."""
     id, cls = headers.get(ID, ""), headers.get(CLASS, "")
     if not ID_FORM.fullmatch(id):
@@ -73,7 +83,7 @@
     if max(len(session), len(prefix)) > KEY_MOST:  # guards the module's tables, which keep them for minutes
         raise ValueError(f"{SESSION} and prefix: are at most {KEY_MOST} characters")
     repeat = headers.get(REPEAT)
-    return Asked(
+    return RequestReceived(
         id,
         cls,
         lengths["prompt_len"],
@@ -88,17 +98,17 @@
     )
 
 
-def read_head(status: int, headers: Mapping[str, str], body: bytes) -> Verdict:
+def read_head(status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:
     """Tell what an endpoint's answer means; what is not known for sure may have run."""
     load = read_load(headers.get(LOAD, ""))
     unprocessed = headers.get(NOT_RUN) == "1"
     if status == 200:
-        return Verdict(None, 0, load)
+        return ResponseHead(None, load_report=load)
     if status == 202:
-        return Verdict(Status.MISS, cached(body), load)
+        return ResponseHead(AttemptStatus.PREFILLED, cached_tokens=cached(body), load_report=load)
     if unprocessed and status in (410, 503, 504):
-        return Verdict(Status.FULL, int(status == 410), load)
-    return Verdict(Status.ERROR, 0, load)
+        return ResponseHead(AttemptStatus.OVERLOADED, state_missing=status == 410, load_report=load)
+    return ResponseHead(AttemptStatus.ERROR, load_report=load)
 
 
 def cached(data: bytes) -> int:
@@ -107,32 +117,34 @@
     return int(found[-1]) if found else 0
 
 
-class Exchange:
+class PlatformRequest:
     """One client's request on this front."""
 
-    def __init__(self, request: web.BaseRequest, asked: Asked, body: bytes) -> None:
-        self.asked, self.body = asked, body
+    def __init__(self, request: web.BaseRequest, asked: RequestReceived, body: bytes) -> None:
+        self.received, self.body = asked, body
         self.method, self.path = request.method, target(request)
         self.kind = request.headers.get("Content-Type", "application/json")
         self.done: asyncio.Future = asyncio.get_running_loop().create_future()
-        response = Relay(headers={"Content-Type": "text/event-stream", "Cache-Control": "no-cache"})
+        response = StreamedResponse(
+            headers={"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
+        )
         response.enable_chunked_encoding()
         self.response = response
-        self.sink = StreamSink(request, response, self.done)
+        self.sink = EventStreamSink(request, response, self.done)
 
-    def call(self, forward: Forward) -> Call:
-        headers = {ID: self.asked.id, "Content-Type": self.kind}
-        return Call(self.method, self.path, headers, self.body, LEFT_MS)
+    def upstream_request(self, forward: OpenAttempt) -> UpstreamRequest:
+        headers = {ID: self.received.request_id, "Content-Type": self.kind}
+        return UpstreamRequest(self.method, self.path, headers, self.body, LEFT_MS)
 
-    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> Verdict:
+    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:
         return read_head(status, headers, body)
 
-    def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
+    def read_tail(self, tail: bytes) -> ResponseTail:
         """Give what a stream's end tells: tokens found kept, and a load report in a comment."""
         lines = LOAD_LINE.findall(tail)
-        return cached(tail), read_load(lines[-1].decode("latin-1")) if lines else {}
+        return ResponseTail(cached(tail), read_load(lines[-1].decode("latin-1")) if lines else NO_REPORT)
 
-    def refuse(self, pause: timedelta) -> None:
+    def reject(self, pause: timedelta) -> None:
         self.answer(web.Response(status=503, headers={"Retry-After": retry_after(pause)}, text="refused\n"))
 
     def fail(self, clash: bool) -> None:
@@ -146,15 +158,15 @@
 class Platform:
     """The front that the platform's clients speak to."""
 
-    def __init__(self, config: Config, runtime: Runtime) -> None:
+    def __init__(self, config: RouterConfig, runtime: Runtime) -> None:
         self.config, self.runtime = config, runtime
         self.classes = {cls.name: cls for cls in config.settings.classes}
-        self.server, self.runtimes = Server(config, self.handle, problem), [runtime]
+        self.server, self.runtimes = FrontendServer(config, self.handle, problem), [runtime]
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request."""
         if request.path == READY:
-            return web.Response(status=503 if self.server.stopping else 200)
+            return web.Response(status=503 if self.server.shutting_down else 200)
         if request.path != CHAT:
             return problem(404, "unknown path", close=True)
         if request.method != "POST":
@@ -163,13 +175,13 @@
             asked = read_asked(request.headers, self.classes)
         except ValueError as error:
             return problem(400, str(error), close=True)
-        size = self.server.size(request)
-        if not self.server.bodies.take(size):
+        size = self.server.body_size_bound(request)
+        if not self.server.body_memory.reserve(size):
             return self.busy()
         try:
             return await self.chat(request, asked)
         finally:
-            self.server.bodies.give(size)
+            self.server.body_memory.release(size)
 
     def busy(self) -> web.Response:
         """Refuse before a limit is met."""
@@ -177,9 +189,9 @@
         response.force_close()
         return response
 
-    async def chat(self, request: web.BaseRequest, asked: Asked) -> web.StreamResponse:
+    async def chat(self, request: web.BaseRequest, asked: RequestReceived) -> web.StreamResponse:
         """Take a request in and wait for its final answer."""
-        body = await self.server.read(request)
+        body = await self.server.read_body(request)
         if isinstance(body, web.Response):
             return body
         try:
@@ -187,23 +199,23 @@
                 return problem(400, "the body must be a JSON object", close=True)
         except orjson.JSONDecodeError:
             return problem(400, "the body is not JSON", close=True)
-        await self.server.look_for_the_end(request)
+        await self.server.detect_disconnect(request)
         runtime = self.runtime
-        if asked.id in runtime.exchanges:
+        if asked.request_id in runtime.proxied_requests:
             return problem(409, "this id is in use")
-        if len(runtime.exchanges) >= self.config.max_open:
+        if len(runtime.proxied_requests) >= self.config.max_open_requests:
             return self.busy()
         # Guards against telling endpoints time that the client no longer has.
-        left = max(timedelta(), asked.patience - self.server.waited(request))
-        asked = replace(asked, patience=left)
-        exchange = runtime.exchanges[asked.id] = Exchange(request, asked, body)
-        if self.server.stopping:
+        left = max(timedelta(), asked.time_remaining - self.server.queueing_delay(request))
+        asked = replace(asked, time_remaining=left)
+        exchange = runtime.proxied_requests[asked.request_id] = PlatformRequest(request, asked, body)
+        if self.server.shutting_down:
             exchange.response.force_close()
         try:
             runtime.feed(asked)
             return await exchange.done
         except asyncio.CancelledError:
-            runtime.feed(Left(asked.id))
+            runtime.feed(ClientDisconnected(asked.request_id))
             raise
         finally:
-            del runtime.exchanges[asked.id]
+            del runtime.proxied_requests[asked.request_id]
--- a/hoplane/fronts/registry_list.py
+++ b/llm_router/frontends/registry_list.py
@@ -5,12 +5,17 @@
 import re
 from math import isfinite
 
-from hoplane.core.events import Endpoint, Listed
-from hoplane.core.start_times import read_start
-from hoplane.decision.interface import State
+from llm_router.lifecycle.endpoint import Endpoint
+from llm_router.lifecycle.events import EndpointListReceived
+from llm_router.lifecycle.start_times import parse_start_time
+from llm_router.routing.events import EndpointStatus
 
 # A status that the protocol does not name gets nothing new.
-STATES = {"Ready": State.LIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {
+    "Ready": EndpointStatus.READY,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.REMOVED,
+}
 ADDRESS = re.compile(r"(?:[A-Za-z0-9._-]+|\[[0-9A-Fa-f:.]+\]):(\d{1,5})")
 PORTS = range(1, 65536)
 ODD_NAMED = 10  # entries that are named in a log line, at most
@@ -20,7 +25,7 @@
     """An entry of which not even the name and the status are told."""
 
 
-def read_list(answer: dict) -> Listed:
+def read_list(answer: dict) -> EndpointListReceived:
     """Translate a list; a ValueError tells that nothing of it can be read."""
     told = answer.get("endpoints")
     if not isinstance(told, list):
@@ -33,7 +38,9 @@
             odd.append(f"endpoints.{index}: {error}")
     if told and not endpoints:
         raise ValueError(f"the list is malformed: {odd[0]}")
-    return Listed(tuple(endpoints), bool(answer.get("snapshot")), odd=tuple(odd[:ODD_NAMED]))
+    return EndpointListReceived(
+        tuple(endpoints), bool(answer.get("snapshot")), malformed=tuple(odd[:ODD_NAMED])
+    )
 
 
 def read_entry(told: object, odd: list[str]) -> Endpoint:
@@ -45,7 +52,7 @@
         raise EntryError("name is missing")
     if not isinstance(status, str):
         raise EntryError(f"status of {name} is missing")
-    started = read_start(since := told.get("since_ms", 0))
+    started = parse_start_time(since := told.get("since_ms", 0))
     if isinstance(since, bool) or not isinstance(since, int | float) or since < 0:
         odd.append(f"{name}.since_ms: {since!r}")
     address, kind, zone = (read_text(told, name, key, odd) for key in ("address", "type", "zone"))
@@ -53,7 +60,7 @@
         odd.append(f"{name}.address: {address!r}")
         address = ""
     cell, weight = read_number(told, name, "group", 0, odd), read_number(told, name, "weight", 1.0, odd)
-    state = STATES.get(status, State.DRAINING)
+    state = STATES.get(status, EndpointStatus.DRAINING)
     return Endpoint(name, address, zone, kind, int(cell), state, float(weight), started)
 
 
--- a/hoplane/core/ledger.py
+++ b/llm_router/lifecycle/idempotency_registry.py
@@ -7,26 +7,26 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class IdempotencyRegistry:
     """Ids of requests that must not run twice.
 
     Guards against a client that repeats a booking whose first sending may have run or is running. An id
     is taken when the request comes and stays until `keep` after its end, unless it surely never ran."""
 
-    most: int
-    keep: timedelta
+    capacity: int
+    retention: timedelta
     running: set[str] = field(default_factory=set)
-    ran: dict[str, timedelta] = field(default_factory=dict)  # oldest first
+    completed: dict[str, timedelta] = field(default_factory=dict)  # oldest first
 
     def clashes(self, key: str, now: timedelta) -> bool:
         """Tell whether an id is running or may have run lately."""
         self.expire(now)
-        return key in self.running or key in self.ran
+        return key in self.running or key in self.completed
 
     @property
     def full(self) -> bool:
         """Tell whether another id would not fit: dropping one early could let a booking run twice."""
-        return len(self.running) + len(self.ran) >= self.most
+        return len(self.running) + len(self.completed) >= self.capacity
 
     def start(self, key: str) -> None:
         """Book an id as running."""
@@ -38,9 +38,9 @@
             return
         self.running.discard(key)
         if may_have_run:
-            self.ran[key] = now
+            self.completed[key] = now
 
     def expire(self, now: timedelta) -> None:
         """Drop what is older than the keeping time."""
-        while self.ran and now - next(iter(self.ran.values())) > self.keep:
-            del self.ran[next(iter(self.ran))]
+        while self.completed and now - next(iter(self.completed.values())) > self.retention:
+            del self.completed[next(iter(self.completed))]
--- a/hoplane/core/tally.py
+++ b/llm_router/lifecycle/interval_metrics.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class IntervalMetrics:
     """What was met since the last line."""
 
     since: timedelta | None = None
@@ -34,7 +34,7 @@
         facts: dict[str, object] = {"seconds": round((now - self.since).total_seconds(), 1), **self.counts}
         for name, (total, longest) in self.times.items():
             facts[f"{name}_ms"] = round(total / self.counts[name] / MILLISECOND)
-            facts[f"{name}_most_ms"] = round(longest / MILLISECOND)
+            facts[f"{name}_max_ms"] = round(longest / MILLISECOND)
         self.since = now
         self.counts.clear()
         self.times.clear()
--- a/hoplane/core/held.py
+++ b/llm_router/lifecycle/kv_lease.py
@@ -9,9 +9,9 @@
 from datetime import timedelta
 from enum import Enum, auto
 
-from hoplane.core.events import Reservation
-from hoplane.core.release_calls import ReleaseCalls
-from hoplane.decision.interface import Status
+from llm_router.lifecycle.events import ReservationOutcome
+from llm_router.lifecycle.release_calls import ReleaseCalls
+from llm_router.routing.events import AttemptStatus
 
 MILLISECOND = timedelta(milliseconds=1)
 RELEASE_MARGIN = 50 * MILLISECOND  # of the release time: for the release calls themselves
@@ -27,14 +27,14 @@
 
 # After these a prefill may have ended well at its server, whatever its client saw, or may yet: for so long.
 CUT_OFF = {
-    Status.ERROR: ON_ITS_WAY,
-    Status.TIMEOUT: ON_ITS_WAY,
-    Status.CANCELLED: ON_ITS_WAY,
-    Status.RESET: READS_ON,
+    AttemptStatus.ERROR: ON_ITS_WAY,
+    AttemptStatus.TIMEOUT: ON_ITS_WAY,
+    AttemptStatus.CANCELLED: ON_ITS_WAY,
+    AttemptStatus.RESET: READS_ON,
 }
 
 
-class Holding(Enum):
+class LeaseState(Enum):
     """What is known of a request's KV state and reservations."""
 
     NOTHING = auto()  # no call was made that could leave something, or all of it has gone
@@ -43,14 +43,14 @@
 
 
 @dataclass(slots=True)
-class HeldState:
+class KvLease:
     """State machine of what may be held for one request, and of when it must be released.
 
     The release time counts from the last outcome or reservation. An attempt whose connection never comes up
     is no outcome: the time runs on meanwhile."""
 
     release_within: timedelta | None
-    holding: Holding = Holding.NOTHING
+    holding: LeaseState = LeaseState.NOTHING
     release_at: timedelta | None = None  # when the next release is due, unless an attempt is out
     may_come_until: timedelta = timedelta()  # a release begun before this may miss something
     cleared_at: timedelta = timedelta()  # all that was held before this has gone
@@ -62,40 +62,40 @@
     @property
     def done(self) -> bool:
         """Tell whether nothing is held, and nothing is out that could leave something."""
-        return self.holding is Holding.NOTHING and not self.reservations
+        return self.holding is LeaseState.NOTHING and not self.reservations
 
     @property
     def uncleared(self) -> bool:
         """Tell whether something may be held of which no endpoint has taken a release yet."""
-        return self.holding is Holding.LEFTOVER and self.cleared_at <= self.left_at
+        return self.holding is LeaseState.LEFTOVER and self.cleared_at <= self.left_at
 
     def connect_within(self, now: timedelta) -> timedelta | None:
         """Give how long a decode attempt may wait for its connection, None for no bound of ours.
 
         Half of what is left, so that a second server can be tried before the state must be released."""
-        if self.holding is not Holding.READY or self.release_at is None:
+        if self.holding is not LeaseState.READY or self.release_at is None:
             return None
         left = max(self.release_at - now, MILLISECOND)
         return min(left, max(left / 2, CONNECT_LEAST))
 
-    def prefill_ended(self, now: timedelta, status: Status) -> None:
+    def prefill_ended(self, now: timedelta, status: AttemptStatus) -> None:
         """Note the end of an attempt at a prefill server that was sent."""
-        if status is Status.MISS:
-            self.holding, self.calls = Holding.READY, None
+        if status is AttemptStatus.PREFILLED:
+            self.holding, self.calls = LeaseState.READY, None
             self.may_come_until = max(self.may_come_until, now)
             self.release_at = self.taken_by(now)
         elif status in CUT_OFF:
             self.leave_behind(now, now + CUT_OFF[status])
-            if status is Status.RESET:
+            if status is AttemptStatus.RESET:
                 self.reads_on_until = now + READS_ON
-            if self.holding is Holding.LEFTOVER:
+            if self.holding is LeaseState.LEFTOVER:
                 self.release_at = now + SETTLE  # the time counts anew from this outcome
 
-    def decode_ended(self, now: timedelta, status: Status) -> None:
+    def decode_ended(self, now: timedelta, status: AttemptStatus) -> None:
         """Note the end of an attempt that was sent and was to take the state: it waits for another.
 
         The server may learn later that it was given up, and till then a release passes the state by."""
-        if self.holding is not Holding.READY:
+        if self.holding is not LeaseState.READY:
             return
         self.release_at = self.taken_by(now)
         if status in CUT_OFF:
@@ -111,13 +111,13 @@
         """Note that a reservation is being asked for."""
         self.reservations += 1
 
-    def reservation_ended(self, now: timedelta, result: Reservation) -> None:
+    def reservation_ended(self, now: timedelta, result: ReservationOutcome) -> None:
         """Note the end of a reservation call; what it may have left is released at the next occasion."""
         self.reservations -= 1
-        if result is Reservation.NOT_HELD:
+        if result is ReservationOutcome.REJECTED:
             self.settle()
         else:
-            late = CALL_ON_ITS_WAY if result is Reservation.UNANSWERED else timedelta()
+            late = CALL_ON_ITS_WAY if result is ReservationOutcome.UNANSWERED else timedelta()
             self.leave_behind(now, now + late)
 
     def attempt_missing(self, now: timedelta) -> None:
@@ -129,8 +129,8 @@
         """Note that something may be held, or come to be held until a time, which no attempt will take."""
         self.may_come_until = max(self.may_come_until, may_come_until)
         self.left_at = max(self.left_at, release_at)
-        if self.holding is not Holding.READY:
-            self.holding = Holding.LEFTOVER
+        if self.holding is not LeaseState.READY:
+            self.holding = LeaseState.LEFTOVER
             self.release_by(release_at)
 
     def release_by(self, moment: timedelta) -> None:
@@ -141,7 +141,7 @@
         """Note that no attempt will take what is held: a release is due."""
         if self.done:
             return
-        self.holding, self.left_at = Holding.LEFTOVER, now
+        self.holding, self.left_at = LeaseState.LEFTOVER, now
         if self.calls is None:
             self.release_by(now + SETTLE if now < self.may_come_until else now)
 
@@ -154,7 +154,7 @@
 
     def begin_release(self, calls: ReleaseCalls) -> None:
         """Note that a release is being asked for."""
-        self.holding, self.calls, self.release_at = Holding.LEFTOVER, calls, None
+        self.holding, self.calls, self.release_at = LeaseState.LEFTOVER, calls, None
 
     def press(self, calls: ReleaseCalls) -> None:
         """Note that a release is asked for while a decode attempt is out that was to take the state.
@@ -165,26 +165,26 @@
     def release_heard(self, begun: timedelta) -> None:
         """Note that an endpoint has taken a release: all that was held before it began has gone."""
         self.calls = None
-        if self.holding is Holding.READY:
+        if self.holding is LeaseState.READY:
             self.cleared_at = max(self.cleared_at, begun)
         else:
             self.cleared(begun)
 
     def release_unheard(self) -> None:
         """Give up: no endpoint has taken a release for long, and servers free by themselves what is left."""
-        self.holding, self.calls, self.release_at = Holding.NOTHING, None, None
+        self.holding, self.calls, self.release_at = LeaseState.NOTHING, None, None
 
     def cleared(self, moment: timedelta) -> None:
         """Note that all that was held before a moment has gone; see to what may still come."""
         self.cleared_at = max(self.cleared_at, moment)
-        self.holding = Holding.LEFTOVER
+        self.holding = LeaseState.LEFTOVER
         within = RELEASE_WITHIN if self.release_within is None else self.release_within
         self.release_by(moment + max(within - RELEASE_MARGIN, AGAIN_LEAST))
         self.settle()
 
     def settle(self) -> None:
         """End the leftovers once nothing can have come after the last time that all was cleared."""
-        if self.holding is not Holding.LEFTOVER or self.calls is not None or self.reservations:
+        if self.holding is not LeaseState.LEFTOVER or self.calls is not None or self.reservations:
             return
         if self.cleared_at >= self.may_come_until:
-            self.holding, self.release_at = Holding.NOTHING, None
+            self.holding, self.release_at = LeaseState.NOTHING, None
--- a/hoplane/core/release_calls.py
+++ b/llm_router/lifecycle/release_calls.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from hoplane.core.events import Endpoint
+from llm_router.lifecycle.endpoint import Endpoint
 
 RELEASE_TRY = timedelta(milliseconds=70)  # then others are asked as well
 SLOW_TRY = timedelta(milliseconds=250)  # the same once the first tries are over
--- a/hoplane/core/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -57,7 +57,7 @@
             del self.gone[next(iter(self.gone))]
 
 
-def read_start(since_ms: object) -> timedelta:
+def parse_start_time(since_ms: object) -> timedelta:
     """Translate a told start, in milliseconds of Unix time, 0 for long ago.
 
     What is no number may be anything, so it counts as a start of just now; so does what lies ahead."""
--- a/hoplane/core/state.py
+++ b/llm_router/lifecycle/state.py
@@ -9,16 +9,17 @@
 from enum import Enum, auto
 from zlib import crc32
 
-from hoplane.core import events as ev
-from hoplane.core.held import HeldState
-from hoplane.core.ledger import Ledger
-from hoplane.core.start_times import StartTimes
-from hoplane.core.tally import Tally
-from hoplane.core.units import to_span
-from hoplane.decision import interface as api
-from hoplane.decision.indexed_set import IndexedSet
-from hoplane.decision.interface import Status
-from hoplane.decision.rules import Router
+from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.endpoint import Endpoint
+from llm_router.lifecycle.idempotency_registry import IdempotencyRegistry
+from llm_router.lifecycle.interval_metrics import IntervalMetrics
+from llm_router.lifecycle.kv_lease import KvLease
+from llm_router.lifecycle.start_times import StartTimes
+from llm_router.lifecycle.units import to_span
+from llm_router.routing.events import AttemptStatus, EndpointStatus
+from llm_router.routing.indexed_set import IndexedSet
+from llm_router.routing.policy import RoutingPolicy
+from llm_router.routing.settings import Settings
 
 LISTS_LATE_BY = timedelta(seconds=4)  # at most a third of a slow start, lest a wrong clock hide it
 
@@ -38,15 +39,15 @@
     server: int
     reads: bool
     opened: timedelta
-    endpoint: ev.Endpoint | None = None
+    endpoint: Endpoint | None = None
     sent: bool = False  # bytes of it may have gone: until then it is no more than a connection that comes up
     arrival: Arrival = Arrival.UNKNOWN
     unknown_once: bool = False  # a decode server that was asked for a place did not know of it
     may_have_run: bool = False  # it is over, and may have had an effect
     began: bool = False
     over: bool = False
-    abandoned: Status | None = None  # how it counts once its connection is closed
-    status: Status | None = None  # how it ended
+    abandoned: AttemptStatus | None = None  # how it counts once its connection is closed
+    status: AttemptStatus | None = None  # how it ended
 
     @property
     def ended_by(self) -> str:
@@ -58,10 +59,10 @@
 class Request:
     """A request taken, until its last attempt and hold are in."""
 
-    asked: ev.Asked
+    asked: events.RequestReceived
     taken: timedelta
     deadline: timedelta
-    held: HeldState
+    held: KvLease
     attempts: list[Attempt] = field(default_factory=list)
     began: bool = False
     closed: bool = False  # the client has its answer, is getting it, or is gone
@@ -102,27 +103,27 @@
 
 
 @dataclass
-class Conductor:
+class RouterState:
     """The state that `reduce` changes."""
 
-    settings: api.Settings
-    router: Router
-    ledger: Ledger
+    settings: Settings
+    policy: RoutingPolicy
+    idempotency_registry: IdempotencyRegistry
     requests: dict[str, Request] = field(default_factory=dict)
     numbers: dict[str, int] = field(default_factory=dict)  # the module's server numbers, by name
-    fleet: dict[int, ev.Endpoint] = field(default_factory=dict)
-    tally: Tally = field(default_factory=Tally)
+    endpoints: dict[int, Endpoint] = field(default_factory=dict)
+    metrics: IntervalMetrics = field(default_factory=IntervalMetrics)
     signs: dict[int, tuple[bool, timedelta]] = field(default_factory=dict)  # the last sign: well or not, when
     listed: IndexedSet[int] = field(default_factory=IndexedSet)  # the numbers in `fleet`
     names: dict[int, str] = field(default_factory=dict)  # `numbers` the other way round
-    starts: StartTimes = field(default_factory=StartTimes)
+    start_times: StartTimes = field(default_factory=StartTimes)
     violations: Counter[str] = field(default_factory=Counter)  # by the name of the rule
 
     def __post_init__(self) -> None:
         """Index the kinds of endpoints and the effects of classes, by name."""
         self.kinds = {kind.name: kind for kind in self.settings.kinds}
-        self.starts.late_by = min(LISTS_LATE_BY, to_span(self.settings.cold) / 3)
-        self.effects = {cls.name: cls.effect for cls in self.settings.classes}
+        self.start_times.late_by = min(LISTS_LATE_BY, to_span(self.settings.slow_start_window) / 3)
+        self.effects = {cls.name: cls.idempotency for cls in self.settings.classes}
 
     def number(self, name: str) -> int:
         """Give an endpoint's number: the same at every conductor, as the module's ring hashes it."""
@@ -134,34 +135,34 @@
             self.names[number] = name
         return self.numbers[name]
 
-    def complete(self, told: ev.Endpoint) -> ev.Endpoint | None:
+    def complete(self, told: Endpoint) -> Endpoint | None:
         """Fill in from what is known of an endpoint where an entry cannot be read; None to leave it out.
 
         One that comes to be of a kind that the settings do not name is gone."""
-        known = self.fleet.get(self.numbers.get(told.name, -1))
+        known = self.endpoints.get(self.numbers.get(told.name, -1))
         if known is not None and not (told.address and told.kind):
-            return replace(known, state=told.state)
+            return replace(known, status=told.status)
         if told.address and told.kind in self.kinds:
             return told
-        return None if known is None else replace(known, state=api.State.GONE)
+        return None if known is None else replace(known, status=EndpointStatus.REMOVED)
 
-    def list_endpoint(self, number: int, endpoint: ev.Endpoint) -> None:
+    def list_endpoint(self, number: int, endpoint: Endpoint) -> None:
         """Enter an endpoint into the fleet, or what is new of it."""
-        self.fleet[number] = endpoint
+        self.endpoints[number] = endpoint
         self.listed.add(number)
 
     def forget(self, number: int, now: timedelta) -> None:
         """Remove an endpoint from the fleet, and all that is kept of it."""
-        name = self.fleet.pop(number).name
+        name = self.endpoints.pop(number).name
         self.listed.discard(number)
         self.signs.pop(number, None)
         del self.numbers[name], self.names[number]
-        self.starts.forget(name, now)
+        self.start_times.forget(name, now)
 
 
-def abandon(request: Request, index: int, status: Status) -> Iterator[ev.Effect]:
+def abandon(request: Request, index: int, status: AttemptStatus) -> Iterator[effects.Effect]:
     """Close an attempt's connection; it counts as given up with this status."""
     attempt = request.attempts[index]
     if not attempt.over and attempt.abandoned is None:
         attempt.abandoned = status
-        yield ev.Abandon(request.asked.id, index)
+        yield effects.AbortAttempt(request.asked.request_id, index)
--- a/hoplane/log.py
+++ b/llm_router/log.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from hoplane.log_writer import LogWriter
+from llm_router.log_writer import LogWriter
 
 STANDARD_ERROR = 2
 FLUSH_WITHIN = timedelta(milliseconds=500)  # for the last lines at the end, if the reader stands still
@@ -27,7 +27,7 @@
         return orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE)
 
 
-writer = LogWriter(STANDARD_ERROR, lambda lost: encode("log_lost", {"lines": lost}))
+writer = LogWriter(STANDARD_ERROR, lambda lost: encode("log_lines_dropped", {"lines": lost}))
 
 
 def occupy_standard_streams() -> None:
@@ -40,7 +40,7 @@
         os.close(opened)
 
 
-def say(event: str, **facts: object) -> None:
+def emit(event: str, **facts: object) -> None:
     """Write a line; the page docs/on-call.md tells what each event means."""
     writer.put(encode(event, facts))
 
@@ -48,7 +48,7 @@
 lately: dict[str, tuple[float, int]] = {}  # by event: when it was said last, and how many came since
 
 
-def seldom(event: str, **facts: object) -> None:
+def emit_rate_limited(event: str, **facts: object) -> None:
     """Write a line at most once a second; `more` tells how many others of its kind went unsaid before it.
 
     Guards against floods that would fill the log, and keep the one core at work with it."""
@@ -57,7 +57,7 @@
         lately[event] = said, more + 1
         return
     lately[event] = time.monotonic(), 0
-    say(event, **facts, **({"more": more} if more else {}))
+    emit(event, **facts, **({"more": more} if more else {}))
 
 
 def flush() -> None:
@@ -74,4 +74,4 @@
         except (TypeError, ValueError):  # a library's format and its arguments do not fit
             text = str(record.msg)
         error = record.exc_info and repr(record.exc_info[1])
-        say("library", logger=record.name, level=record.levelname, text=text, error=error)
+        emit("library", logger=record.name, level=record.levelname, text=text, error=error)
--- a/hoplane/decision/servers.py
+++ b/llm_router/routing/endpoint_index.py
@@ -7,9 +7,16 @@
 from dataclasses import replace
 from itertools import islice
 
-from .indexed_set import IndexedSet
-from .interface import FirstToken, Fleet, KindSettings, Outcome, Place, Role, State
-from .state import Attempt, Server
+from llm_router.routing.events import (
+    AttemptEnded,
+    EndpointListUpdate,
+    EndpointStatus,
+    FirstToken,
+    ReservationResult,
+)
+from llm_router.routing.indexed_set import IndexedSet
+from llm_router.routing.settings import KindSettings, Role
+from llm_router.routing.state import Attempt, Server
 
 
 class Servers(dict[int, Server]):
@@ -25,24 +32,24 @@
         self.recent: dict[Role, dict[Server, None]] = {role: {} for role in Role}  # lately used last
         self.version = 0  # of the list
 
-    def update(self, event: Fleet, now: int) -> list[Server]:
+    def update(self, event: EndpointListUpdate, now: int) -> list[Server]:
         """Take a list in and give the servers that changed; a whole one removes what it leaves out.
 
         A gone server stays while we await an attempt there."""
         self.version += 1
         entries = [entry for entry in event.entries or () if entry.kind in self.kinds]
         changed = []
-        if event.whole:
-            named = {entry.server for entry in entries}
+        if event.is_full:
+            named = {entry.endpoint_id for entry in entries}
             changed = [server for key, server in self.items() if key not in named]
             for server in changed:
                 self.remove(server)
         self.drop_gone()
         for entry in entries:
             kind = self.kinds[entry.kind]
-            server = self.get(entry.server)
+            server = self.get(entry.endpoint_id)
             if server is None:
-                server = self[entry.server] = Server(entry, kind.role, kind.memory or 0)
+                server = self[entry.endpoint_id] = Server(entry, kind.role, kind.memory_tokens or 0)
             else:
                 self.unindex(server)
             server.renew(entry, kind.role, now)
@@ -53,7 +60,7 @@
     def remove(self, server: Server) -> None:
         """Note that a server is listed no more."""
         self.unindex(server)
-        server.entry = replace(server.entry, state=State.GONE)
+        server.entry = replace(server.entry, status=EndpointStatus.REMOVED)
         self.index(server)
 
     def drop_gone(self) -> None:
@@ -66,9 +73,9 @@
     def index(self, server: Server) -> None:
         """Enter a server into the indexes, by its state, role and cell."""
         entry = server.entry
-        if entry.state is State.GONE:
-            self.gone[entry.server] = server
-        if entry.state is not State.LIVE:
+        if entry.status is EndpointStatus.REMOVED:
+            self.gone[entry.endpoint_id] = server
+        if entry.status is not EndpointStatus.READY:
             return
         self.by_role[server.role].add(server)
         self.by_cell.setdefault(entry.cell, IndexedSet()).add(server)
@@ -77,8 +84,8 @@
     def unindex(self, server: Server) -> None:
         """Take a server out of the indexes, as it was entered."""
         entry = server.entry
-        self.gone.pop(entry.server, None)
-        if entry.state is not State.LIVE:
+        self.gone.pop(entry.endpoint_id, None)
+        if entry.status is not EndpointStatus.READY:
             return
         self.by_role[server.role].discard(server)
         self.recent[server.role].pop(server, None)
@@ -101,13 +108,13 @@
     def live_one(self, number: int | None, roles: Iterable[Role]) -> Server | None:
         """Give a server by its number, if it runs, does not drain and has one of some roles."""
         server = self.get(number)
-        if server is None or server.entry.state is not State.LIVE or server.role not in roles:
+        if server is None or server.entry.status is not EndpointStatus.READY or server.role not in roles:
             return None
         return server
 
     def touch(self, server: Server) -> None:
         """Note that a server was used, or told of its load."""
-        if server.entry.state is State.LIVE:
+        if server.entry.status is EndpointStatus.READY:
             recent = self.recent[server.role]
             recent.pop(server, None)
             recent[server] = None
@@ -116,7 +123,7 @@
         """Give the live servers of some roles that were used last, at most so many of each."""
         return [server for role in roles for server in islice(reversed(self.recent[role]), most)]
 
-    def attempt(self, event: FirstToken | Place | Outcome) -> Attempt | None:
+    def attempt(self, event: FirstToken | ReservationResult | AttemptEnded) -> Attempt | None:
         """Give the attempt out that an event speaks of."""
-        server = self.get(event.server)
-        return server.out.get((event.request, event.attempt)) if server else None
+        server = self.get(event.endpoint_id)
+        return server.out.get((event.request_id, event.attempt)) if server else None
--- a/hoplane/decision/peer_reports.py
+++ b/llm_router/routing/gossip_codec.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PeerReport:
+class GossipMessage:
     """What routers tell each other of a server; tenant and class by their place in the settings."""
 
     symptom: Symptom
@@ -32,7 +32,7 @@
         return body + CHECK.pack(crc32(body) & 0xFFFF)
 
     @classmethod
-    def read(cls, data: bytes) -> PeerReport | None:
+    def read(cls, data: bytes) -> GossipMessage | None:
         """Give the report, or None where it was cut short, comes from another version or is noise."""
         body, check = data[: FORM.size], data[FORM.size :]
         if len(data) != FORM.size + CHECK.size or CHECK.pack(crc32(body) & 0xFFFF) != check:
--- a/hoplane/decision/ring.py
+++ b/llm_router/routing/hash_ring.py
@@ -8,7 +8,7 @@
 
 from sortedcontainers import SortedList
 
-from .state import Server
+from llm_router.routing.state import Server
 
 MASK = 0xFFFFFFFFFFFFFFFF
 
@@ -48,7 +48,7 @@
 
     def set_points(self, server: Server, points: int) -> None:
         """Give a server so many points; none removes it."""
-        number = server.entry.server
+        number = server.entry.endpoint_id
         before = self.parts.get(number, 0)
         for index in range(before, points):
             self.places.add((mix(f"{number} {index}"), number))
--- a/hoplane/decision/rules.py
+++ b/llm_router/routing/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of a router, and every table and tuned value; its interface is `interface.py`.
+"""Every decision of a router, and every table and tuned value.
 
 Each send passes `send`, each end `finish`; `settle` sees to requests with no attempt out after each event.
 `docs/design.md` tells the mechanism (the paper's section 5) from the exceptions made to it."""
@@ -11,16 +11,23 @@
 from math import log2
 from statistics import median
 
-from . import interface as api
-from .interface import Effect, Group, Reason, Role, State, Status
-from .peer_reports import PeerReport, Symptom
-from .ring import Ring, jump_hash, mix
-from .servers import Servers
-from .state import Attempt, Job, Mean, Rate, Row, Server, Timers, drop_before
+from llm_router.routing import actions, events
+from llm_router.routing.actions import AnswerReason
+from llm_router.routing.endpoint_index import Servers
+from llm_router.routing.events import AttemptStatus, ConnectionFault, EndpointStatus
+from llm_router.routing.gossip_codec import GossipMessage, Symptom
+from llm_router.routing.hash_ring import Ring, jump_hash, mix
+from llm_router.routing.settings import DeduplicationScope, Idempotency, Role, Settings
+from llm_router.routing.state import Attempt, Job, Mean, Rate, Row, Server, Timers, drop_before
 
 MS, SECOND = 1_000_000, 1_000_000_000
-READERS, WRITERS = (Role.READ, Role.BOTH), (Role.WRITE, Role.BOTH)
-RISKY = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)  # at a writer it may have run
+READERS, WRITERS = (Role.PREFILL, Role.MIXED), (Role.DECODE, Role.MIXED)
+RISKY = (
+    AttemptStatus.ERROR,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.RESET,
+    AttemptStatus.CANCELLED,
+)  # at a writer it may have run
 
 # The mechanism.
 TTFT_WEIGHT, PACE_WEIGHT = 1.0, 1.0  # of the score's two halves, without unit
@@ -57,15 +64,15 @@
 RATE_SPAN = 5 * SECOND  # what came lately came in this; what was told counts for a half to all of it
 
 
-class Router:
+class RoutingPolicy:
     """The decisions of one router."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.rng, self.now = random.Random(seed), 0
-        self.actions: list[api.Action] = []
+        self.actions: list[actions.Action] = []
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.quotas = {tenant.name: tenant.quota_per_s for tenant in settings.tenants}
+        self.quotas = {tenant.name: tenant.requests_per_second for tenant in settings.tenants}
         self.asked: dict[str, Rate] = {}
         self.demand: dict[str, Rate] = {}  # requests by prefix, "" for all
         self.servers = Servers(settings.kinds)
@@ -89,25 +96,25 @@
         self.timers = Timers()
         self.sweeping = self.watching = False
         self.handlers: dict[type, Callable[..., Job | None]] = {
-            api.Fleet: self.on_fleet,
-            api.Request: self.on_request,
-            api.FirstToken: self.on_first,
-            api.Place: self.on_place,
-            api.Outcome: self.on_outcome,
-            api.Gone: self.on_gone,
-            api.PeerMessage: self.on_peer,
-            api.Probed: self.on_probed,
-            api.Timer: lambda event: self.timers.fire(event.timer),
+            events.EndpointListUpdate: self.on_fleet,
+            events.RequestReceived: self.on_request,
+            events.FirstToken: self.on_first,
+            events.ReservationResult: self.on_place,
+            events.AttemptEnded: self.on_outcome,
+            events.ClientDisconnected: self.on_gone,
+            events.GossipReceived: self.on_peer,
+            events.LoadProbeEnded: self.on_probed,
+            events.TimerFired: lambda event: self.timers.fire(event.timer_id),
         }
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now: int, event: events.Event) -> list[actions.Action]:
         """Take an event and give the actions that it calls for, in order; what was not asked for is left."""
         self.now, self.actions = now, []
         if handler := self.handlers.get(type(event)):
             self.settle(handler(event))
         return self.actions
 
-    def on_fleet(self, event: api.Fleet) -> None:
+    def on_fleet(self, event: events.EndpointListUpdate) -> None:
         """Bring the list level. A whole list also removes what it leaves out."""
         self.watch()
         if event.entries is None:
@@ -118,7 +125,7 @@
         for server in self.to_weigh(changed):
             self.ring.set_points(server, self.points(server))
         for server in changed:
-            writes = server.role in WRITERS and server.entry.state is State.LIVE
+            writes = server.role in WRITERS and server.entry.status is EndpointStatus.READY
             self.subset_ring.set_points(server, int(writes))
 
     def to_weigh(self, changed: list[Server]) -> Iterable[Server]:
@@ -139,7 +146,7 @@
 
     def readers_to_writers(self) -> float:
         """Give how many readers there are to a writer; in a large fleet in steps, the same at all routers."""
-        readers, writers = self.servers.count(Role.READ), self.servers.count(Role.WRITE)
+        readers, writers = self.servers.count(Role.PREFILL), self.servers.count(Role.DECODE)
         even = readers / max(1, writers)
         if readers + writers <= CANDIDATES or not even:
             return even
@@ -147,44 +154,44 @@
 
     def points(self, server: Server) -> int:
         """Give how many points on the ring a server has: the fewer, the less its cell's writers can take."""
-        if server.entry.state is not State.LIVE or server.role not in READERS:
+        if server.entry.status is not EndpointStatus.READY or server.role not in READERS:
             return 0
-        if server.role is Role.BOTH:
+        if server.role is Role.MIXED:
             return round(POINTS / (1 + self.even))
         return self.reader_points(server.entry.cell)
 
     def reader_points(self, cell: int) -> int:
         """Give how many points a reader of a cell has."""
         cells = self.servers.cells
-        near = self.even * cells[Role.WRITE, cell] / max(1, cells[Role.READ, cell])
+        near = self.even * cells[Role.DECODE, cell] / max(1, cells[Role.PREFILL, cell])
         return round(POINTS * min(1.0, max(PAIRED, near)))
 
     def watch(self) -> None:
-        if self.settings.must_ask and not self.watching:
+        if self.settings.must_subscribe and not self.watching:
             self.watching = True
-            self.actions.append(api.Watch())
+            self.actions.append(actions.WatchEndpoints())
 
-    def on_request(self, event: api.Request) -> Job | None:
+    def on_request(self, event: events.RequestReceived) -> Job | None:
         """Take a request; a timer backs its deadline, a tick early so that the answer is in time."""
-        cls = self.classes.get(event.cls)
-        if cls is None or event.request in self.jobs:
+        cls = self.classes.get(event.class_name)
+        if cls is None or event.request_id in self.jobs:
             return None
         row = self.rows.get(event.session or event.prefix or "")
-        job = self.jobs[event.request] = Job(event, cls, self.now, self.now + event.patience, row)
-        self.prompts.add(event.prompt, BLEND)
+        job = self.jobs[event.request_id] = Job(event, cls, self.now, self.now + event.time_remaining, row)
+        self.prompts.add(event.prompt_tokens, BLEND)
         self.asked.setdefault(event.tenant or "", Rate(RATE_SPAN)).add(self.now)
         for prefix in dict.fromkeys(("", event.prefix or "")):
             self.demand[prefix] = self.demand.pop(prefix, Rate(IDLE))
             self.demand[prefix].add(self.now)
-        span = max(0, event.patience - self.settings.tick)
-        self.after(span, lambda: job if job.settled else self.finish(job, Reason.TIME_OVER))
+        span = max(0, event.time_remaining - self.settings.timer_resolution)
+        self.after(span, lambda: job if job.settled else self.finish(job, AnswerReason.DEADLINE_EXCEEDED))
         if not self.sweeping:
             self.sweeping = True
             self.after(SWEEP, self.sweep)
         job.local = self.local_writer(job)
         return job
 
-    def on_first(self, event: api.FirstToken) -> None:
+    def on_first(self, event: events.FirstToken) -> None:
         if (attempt := self.servers.attempt(event)) is None:
             return
         job, server = attempt.job, attempt.server
@@ -192,17 +199,17 @@
         self.alive(attempt)
         self.waited(server, self.now - attempt.sent, attempt.unread)
         self.stage[False].add(self.now - attempt.sent, BLEND)
-        if self.settings.peers and server is job.place and job.near.entry.cell == server.entry.cell:
+        if self.settings.gossip and server is job.place and job.near.entry.cell == server.entry.cell:
             self.time_step(server, self.now - attempt.sent)
         self.cell(job)[0].add(self.now - job.arrived, BLEND)
 
-    def on_place(self, event: api.Place) -> None:
+    def on_place(self, event: events.ReservationResult) -> None:
         """Note a place that is held; where it is not, the next writer is asked."""
         attempt = self.servers.attempt(event)
         if attempt is None or not (job := attempt.job).asked:
             return
-        self.places[event.held].add(self.now)
-        if event.held and not job.ended:
+        self.places[event.reserved].add(self.now)
+        if event.reserved and not job.ended:
             job.place = job.place or job.asked[-1]
         elif not (job.place or job.ended):
             self.hold(job)
@@ -211,69 +218,79 @@
         """Ask for a place at the writer of our choice during the read, so that its state flows early.
 
         Guards against writers that others filled unseen. May harm where long reads leave places empty."""
-        for server in self.writers(job)[:HOLDS] if self.settings.ahead and len(job.asked) < HOLDS else []:
+        for server in (
+            self.writers(job)[:HOLDS] if self.settings.reservations and len(job.asked) < HOLDS else []
+        ):
             if server not in job.asked and self.cold_room(server, False):
                 job.asked.append(server)
-                self.actions.append(api.Hold(job.request.request, server.entry.server))
+                self.actions.append(actions.Reserve(job.request.request_id, server.entry.endpoint_id))
                 return
 
-    def on_outcome(self, event: api.Outcome) -> Job | None:
+    def on_outcome(self, event: events.AttemptEnded) -> Job | None:
         """Take an attempt's end in: what it tells of the server, of the request and of the averages."""
         if (attempt := self.servers.attempt(event)) is None:
             return None
         job, server, status = attempt.job, attempt.server, event.status
         attempt.drop()
         attempt.risky = not attempt.reads and status in RISKY
-        failed_here = status is Status.CONNECT_FAILED and event.note == api.FAILED_HERE
-        attempt.failed = status in (*RISKY, Status.CONNECT_FAILED) and not failed_here
-        job.ended = job.ended or event.closed
-        if status in (Status.OK, Status.MISS):
+        failed_here = (
+            status is AttemptStatus.CONNECT_FAILED and event.connection_fault is ConnectionFault.LOCAL
+        )
+        attempt.failed = status in (*RISKY, AttemptStatus.CONNECT_FAILED) and not failed_here
+        job.ended = job.ended or event.request_closed
+        if status in (AttemptStatus.OK, AttemptStatus.PREFILLED):
             self.alive(attempt)
-        elif status in (Status.CONNECT_FAILED, Status.RESET, Status.ERROR):
+        elif status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET, AttemptStatus.ERROR):
             self.failed(server, event)
-        elif status in (Status.CANCELLED, Status.TIMEOUT) and attempt.reads and not attempt.passed:
+        elif (
+            status in (AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT)
+            and attempt.reads
+            and not attempt.passed
+        ):
             # It waited longer still.
             self.waited(server, event.elapsed, attempt.unread)
-        elif status is Status.FULL and event.note != 1:
+        elif status is AttemptStatus.OVERLOADED and not event.state_missing:
             self.note(Symptom.FULL, server, job.pair)
-        if status is Status.MISS:
+        if status is AttemptStatus.PREFILLED:
             self.learn_read(job, server, event)
-        elif status is Status.OK and job.first_at is not None:
+        elif status is AttemptStatus.OK and job.first_at is not None:
             self.learn_answer(job, server, event)
-        if not attempt.reads and status not in (Status.CONNECT_FAILED, Status.MOOT):
+        if not attempt.reads and status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT):
             job.state_since = self.now
         job.local = None
         # A read that broke off may have ended well all the same: what it left waits, and nobody knows.
         # So does a state that its writer could not reach and tells to be gone.
-        unknown = status in RISKY if attempt.reads else status is Status.FULL and event.note == 1
-        if status is not Status.MISS and (job.asked or unknown):
+        unknown = (
+            status in RISKY if attempt.reads else status is AttemptStatus.OVERLOADED and event.state_missing
+        )
+        if status is not AttemptStatus.PREFILLED and (job.asked or unknown):
             self.release(job)
         return job
 
-    def failed(self, server: Server, event: api.Outcome) -> None:
+    def failed(self, server: Server, event: events.AttemptEnded) -> None:
         """Hold a server to be down when it fails twice in a row, or breaks after a wait that hurts.
 
         Guards against one that fails at once, and so seems least busy, and against giving up well servers for
         a lone reset. A connection kept from before tells nothing: it may have been closed as idle. Nor does a
         system call of our own that failed."""
-        if event.status is not Status.ERROR and event.note in (api.KEPT, api.FAILED_HERE):
+        if event.status is not AttemptStatus.ERROR and event.connection_fault is not ConnectionFault.NONE:
             return
         server.errors += 1
-        if server.errors >= ERRORS or (event.status is not Status.ERROR and event.elapsed > BRIEF):
+        if server.errors >= ERRORS or (event.status is not AttemptStatus.ERROR and event.elapsed > BRIEF):
             self.note(Symptom.DOWN, server)
 
-    def learn_read(self, job: Job, server: Server, event: api.Outcome) -> None:
+    def learn_read(self, job: Job, server: Server, event: events.AttemptEnded) -> None:
         """Record a finished read: where the state waits, the reader's speed and its wait."""
         job.state_at, job.state_since, job.reader = server, self.now, server
         self.stage[True].add(event.elapsed, BLEND)
-        unread = max(0, job.request.prompt - event.note)
+        unread = max(0, job.request.prompt_tokens - event.cached_tokens)
         self.speed = max(unread * SECOND / max(1, event.elapsed), self.speed * FORGET)
         self.waited(server, event.elapsed, unread)
         server.prefixes.pop(job.request.prefix or "", None)
         server.prefixes[job.request.prefix or ""] = Rate(IDLE, at=self.now)
         drop_before(server.prefixes, self.now - IDLE)
 
-    def learn_answer(self, job: Job, server: Server, event: api.Outcome) -> None:
+    def learn_answer(self, job: Job, server: Server, event: events.AttemptEnded) -> None:
         """Record a finished answer: the session's row, the cell's pace, and whether the writer kept its part.
 
         Few kept at a local turn (flush, restart, no memory) void its older rows (harms if one was lost)."""
@@ -281,17 +298,17 @@
         key = job.request.session or job.request.prefix or ""
         self.rows.pop(key, None)
         self.rows[key] = job.next_row(server, self.now)
-        if job.local is not None and 2 * event.note < job.request.prefix_len:
+        if job.local is not None and 2 * event.cached_tokens < job.request.prefix_tokens:
             server.kept_since = job.arrived
 
-    def on_gone(self, event: api.Gone) -> Job | None:
-        if job := self.jobs.get(event.request):
+    def on_gone(self, event: events.ClientDisconnected) -> Job | None:
+        if job := self.jobs.get(event.request_id):
             job.ended = True
             self.cancel(job.out)
         return job
 
     def after(self, span: int, callback: Callable[[], Job | None]) -> None:
-        self.actions.append(api.SetTimer(self.now + span, self.timers.add(callback)))
+        self.actions.append(actions.SetTimer(self.now + span, self.timers.add(callback)))
 
     def alive(self, attempt: Attempt) -> None:
         server = attempt.server
@@ -325,12 +342,12 @@
             server.slow_until = max(server.slow_until, until)
         else:
             self.eject(server, sure=True)
-        if self.settings.peers and not told and pair in self.pairs:
-            report = PeerReport(symptom, server.entry.server, self.pairs.index(pair))
-            self.actions.append(api.Tell(None, report.pack()))
+        if self.settings.gossip and not told and pair in self.pairs:
+            report = GossipMessage(symptom, server.entry.endpoint_id, self.pairs.index(pair))
+            self.actions.append(actions.SendGossip(None, report.pack()))
 
-    def on_peer(self, event: api.PeerMessage) -> None:
-        report = PeerReport.read(event.data)
+    def on_peer(self, event: events.GossipReceived) -> None:
+        report = GossipMessage.read(event.data)
         server = self.servers.get(report.server) if report else None
         if server and report.pair < len(self.pairs):
             self.note(report.symptom, server, self.pairs[report.pair], told=True)
@@ -358,9 +375,11 @@
                 silent = self.now - max(oldest.sent, server.heard) > self.patience(oldest)
                 if silent and self.eject(server, sure=False):
                     self.stage[oldest.reads].add(self.now - oldest.sent, BLEND)
-                    self.cancel(a for a in server.out.values() if a.reads or a.job.cls.effect is Effect.SAFE)
+                    self.cancel(
+                        a for a in server.out.values() if a.reads or a.job.cls.idempotency is Idempotency.SAFE
+                    )
         for attempt in [a for job in waiting for a in job.out if a.passed and not a.failed]:
-            repeatable = attempt.reads or attempt.job.cls.effect is Effect.SAFE
+            repeatable = attempt.reads or attempt.job.cls.idempotency is Idempotency.SAFE
             if repeatable and self.now - attempt.sent > self.patience(attempt):
                 attempt.failed = True
                 self.cancel([attempt])
@@ -376,7 +395,7 @@
         """Give how long an attempt may go without a sign of life before it is held to be lost.
 
         Guards against servers that answer all but some requests, which then wait till their time is up."""
-        least = SILENT_MIN[attempt.reads] * min(cls.aim for cls in self.settings.classes)
+        least = SILENT_MIN[attempt.reads] * min(cls.latency_objective for cls in self.settings.classes)
         return max(SILENT * (self.stage[attempt.reads].value or 0), least) + self.reading_time(attempt.unread)
 
     def candidates(self, roles: tuple[Role, ...]) -> list[Server]:
@@ -399,11 +418,11 @@
 
         Guards against connections that no second request ever uses: the fewer writers a router has, the more
         it finds open. Each router's part lies elsewhere on a ring, so that all writers are used alike."""
-        if self.servers.count(*WRITERS) * SUBSET_COVER > CANDIDATES * self.settings.routers:
+        if self.servers.count(*WRITERS) * SUBSET_COVER > CANDIDATES * self.settings.router_count:
             return []
         version, subset = self.subset
         if version != self.servers.version:
-            walk = self.subset_ring.walk(f"router {self.settings.position}")
+            walk = self.subset_ring.walk(f"router {self.settings.router_index}")
             self.subset = self.servers.version, (subset := list(islice(walk, CANDIDATES)))
         return subset
 
@@ -423,18 +442,18 @@
 
     def settle(self, job: Job | None) -> None:
         """See to it that a request with no attempt out has sent, waits within its limits, or has ended."""
-        if job is None or job.out or self.jobs.get(job.request.request) is not job:
+        if job is None or job.out or self.jobs.get(job.request.request_id) is not job:
             return
         if not job.ended:
             self.advance(job)
         if job.ended and not job.out:
             self.release(job)
-            del self.jobs[job.request.request]
+            del self.jobs[job.request.request_id]
 
     def advance(self, job: Job) -> None:
         """Take the next step of the path, wait for one, or end the request."""
         reason = self.hopeless(job)
-        within = IDLE if self.settings.release_within is None else self.settings.release_within
+        within = IDLE if self.settings.release_timeout is None else self.settings.release_timeout
         due = job.state_since + max(within // 2, within - 2 * SWEEP)  # a state waits until then
         if reason is not None:
             self.finish(job, reason)
@@ -442,17 +461,17 @@
             self.release(job)
         elif job.state_at is None and self.late(job):
             if not self.send_first(job, self.escape(job), reads=False):
-                self.finish(job, Reason.WAITS_TOO_LONG)
+                self.finish(job, AnswerReason.QUEUEING_DELAY)
         else:
             self.step(job)
 
-    def hopeless(self, job: Job) -> Reason | None:
+    def hopeless(self, job: Job) -> AnswerReason | None:
         """Tell why a request with no attempt out can get none in time, None if it may."""
-        if self.now >= job.deadline - self.settings.tick:
-            return Reason.TIME_OVER
+        if self.now >= job.deadline - self.settings.timer_resolution:
+            return AnswerReason.DEADLINE_EXCEEDED
         if not self.may_send(job, None):
-            return Reason.NO_MORE_ATTEMPTS
-        return Reason.NO_SERVER_IN_TIME if self.stranded(job) else None
+            return AnswerReason.ATTEMPTS_EXHAUSTED
+        return AnswerReason.NO_ENDPOINT_IN_TIME if self.stranded(job) else None
 
     def step(self, job: Job) -> bool:
         """Send the request where its path leads next."""
@@ -472,7 +491,7 @@
 
         Guards against queues that other routers have filled unseen: of many, each meets a server too seldom
         to know them by its own waits. May harm where reports lag behind by more than a queue lasts."""
-        if not self.settings.probes or self.reported(server):
+        if not self.settings.load_probes or self.reported(server):
             return False
         if server not in job.probed and len(job.probed) < PROBES_MOST:
             job.probed.append(server)
@@ -480,7 +499,7 @@
             self.after(PROBE_WAIT, lambda: job)
             if server.probed_at is None or self.now >= server.probed_at + FRESH:
                 server.probed_at = self.now
-                self.actions.append(api.Probe(server.entry.server))
+                self.actions.append(actions.ProbeLoad(server.entry.endpoint_id))
         return self.now < job.probe_until
 
     def known(self, server: Server) -> bool:
@@ -491,75 +510,87 @@
         """Tell whether there is a report of a server that still holds."""
         return server.load_at is not None and self.now < server.load_at + FRESH
 
-    def on_probed(self, event: api.Probed) -> None:
+    def on_probed(self, event: events.LoadProbeEnded) -> None:
         """Take a load report in, and go on with the requests that wait for it."""
-        if (server := self.servers.get(event.server)) is None:
+        if (server := self.servers.get(event.endpoint_id)) is None:
             return
         server.probed_at = None
-        if event.status is Status.OK:
-            server.load, server.load_at = event.load, self.now
+        if event.status is AttemptStatus.OK:
+            server.load, server.load_at = event.report, self.now
             self.servers.touch(server)
         for job in [job for job in self.jobs.values() if server in job.probed and self.now < job.probe_until]:
             self.settle(job)
 
     def send_first(self, job: Job, servers: Iterable[Server], reads: bool) -> bool:
-        return any(self.send(job, server, reads and server.role is Role.READ) for server in servers)
+        return any(self.send(job, server, reads and server.role is Role.PREFILL) for server in servers)
 
     def release(self, job: Job) -> None:
         """Let go of what may be held for a request."""
         if any(attempt.reads for attempt in job.attempts):
-            self.actions.append(api.Release(job.request.request))
+            self.actions.append(actions.Release(job.request.request_id))
         job.state_at = job.place = None
         job.asked.clear()
 
-    def finish(self, job: Job, reason: Reason) -> Job:
+    def finish(self, job: Job, reason: AnswerReason) -> Job:
         """Give the final answer: refused where that is known to be harmless, else failed."""
-        cls, request = job.cls, job.request.request
+        cls, request = job.cls, job.request.request_id
         harmless = not job.out and not any(attempt.risky for attempt in job.attempts)
-        repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
+        repeatable = cls.idempotency is Idempotency.SAFE or (
+            cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
+        )
         pause = min(max(0, job.pause), self.settings.retry_after and self.settings.max_retry_after or 0)
         refuse = harmless or repeatable
-        self.actions.append(api.Refuse(request, pause, reason) if refuse else api.Fail(request, reason))
+        self.actions.append(
+            actions.RejectRequest(request, pause, reason) if refuse else actions.FailRequest(request, reason)
+        )
         job.ended = True
         self.cancel(job.out)
         return job
 
     def cancel(self, attempts: Iterable[Attempt]) -> None:
-        if self.settings.cancel:
-            self.actions.extend(api.Cancel(a.job.request.request, a.index) for a in attempts if not a.began)
+        if self.settings.may_cancel:
+            self.actions.extend(
+                actions.CancelAttempt(a.job.request.request_id, a.index) for a in attempts if not a.began
+            )
 
     def may_send(self, job: Job, server: Server | None) -> bool:
         """Tell whether attempts, copies and effects allow another send, anywhere or to this server."""
         cap, cls = self.settings.max_attempts, job.cls
-        copy = not job.out or (self.settings.second_copies and cls.effect is Effect.SAFE)
+        copy = not job.out or (self.settings.hedging and cls.idempotency is Idempotency.SAFE)
         if job.ended or (cap and len(job.attempts) >= cap) or not copy:
             return False
         risky = [attempt for attempt in job.attempts if attempt.risky]
-        if not risky or cls.effect is Effect.SAFE:
+        if not risky or cls.idempotency is Idempotency.SAFE:
             return True
-        if cls.effect is Effect.UNSAFE or self.now >= self.repeat_until(job):
+        if cls.idempotency is Idempotency.NONE or self.now >= self.repeat_until(job):
             return False
-        same = {Group.ALL: lambda e: 0, Group.ZONE: lambda e: e.zone, Group.CELL: lambda e: e.cell}[cls.group]
+        same = {
+            DeduplicationScope.ALL: lambda e: 0,
+            DeduplicationScope.ZONE: lambda e: e.zone,
+            DeduplicationScope.CELL: lambda e: e.cell,
+        }[cls.deduplication_scope]
         return server is None or all(same(a.server.entry) == same(server.entry) for a in risky)
 
     def repeat_until(self, job: Job) -> int | None:
         """Give the end of the time in which servers drop repeats, None where there is no such bound."""
         risky = [attempt.sent for attempt in job.attempts if attempt.risky]
-        bounded = risky and job.cls.effect is Effect.KEYED
-        return risky[0] + job.cls.window - self.settings.tick if bounded else None
+        bounded = risky and job.cls.idempotency is Idempotency.KEYED
+        return risky[0] + job.cls.deduplication_window - self.settings.timer_resolution if bounded else None
 
     def send(self, job: Job, server: Server, reads: bool) -> bool:
         """Send, unless a rule forbids it: the gate for drains, cold servers, attempts, copies and effects."""
-        allowed = server.entry.state is State.LIVE and self.may_send(job, server)
+        allowed = server.entry.status is EndpointStatus.READY and self.may_send(job, server)
         if not (allowed and (server is job.place or self.cold_room(server, reads))):
             return False
         unread = self.unread(job, server) if job.state_at is None else 0
-        held = 0 if reads else job.request.prompt + job.request.max_out
+        held = 0 if reads else job.request.prompt_tokens + job.request.max_output_tokens
         Attempt(job, len(job.attempts), server, reads, held, unread, self.now).take()
         self.sends[reads].add(self.now)
         self.servers.touch(server)
         not_after = None if reads else self.repeat_until(job)
-        self.actions.append(api.Send(job.request.request, server.entry.server, not_after=not_after))
+        self.actions.append(
+            actions.StartAttempt(job.request.request_id, server.entry.endpoint_id, write_deadline=not_after)
+        )
         if reads:
             job.near = server
             self.hold(job)
@@ -567,12 +598,12 @@
 
     def cold_room(self, server: Server, reads: bool) -> bool:
         """Give a cold server a part of a warm one's rate, from a random moment so that routers don't meet."""
-        born, told = server.entry.born, self.settings
-        if not born or self.now >= born + told.cold or not told.fall_multiple:
+        born, told = server.entry.started_at, self.settings
+        if not born or self.now >= born + told.slow_start_window or not told.overload_factor:
             return True
         rate = self.sends[reads].add(self.now, 0) / self.servers.count(server.role)
-        part = min(1.0, told.cold_share * told.fall_multiple) * COLD_PART
-        gap = round(RATE_SPAN / (rate * part)) if rate else told.cold
+        part = min(1.0, told.slow_start_share * told.overload_factor) * COLD_PART
+        gap = round(RATE_SPAN / (rate * part)) if rate else told.slow_start_window
         if server.next_cold is None:
             server.next_cold = self.now + self.rng.randrange(gap + 1)
         if self.now < server.next_cold:
@@ -584,17 +615,19 @@
         """Tell, by the servers given work of late, whether waits make a request late; over-share ones first.
 
         Repeats too, as nobody tells how old they are. Clients are told to stay away while the wait lasts."""
-        parts = [[job.local]] if job.local else [self.lately_used(role) for role in (Role.READ, Role.WRITE)]
+        parts = (
+            [[job.local]] if job.local else [self.lately_used(role) for role in (Role.PREFILL, Role.DECODE)]
+        )
         if job.probed and job.local is None:
             parts[0] = self.ahead(job)
         met = ([self.delay(s) for s in part if s.oldest or self.known(s)] for part in parts)
         wait = sum(median(waits) for waits in met if waits) + self.crowding() ** HOLDS * job.aim
         tenant = job.request.tenant or ""
-        asked = self.asked[tenant].count * self.settings.routers / (RATE_SPAN / SECOND)
+        asked = self.asked[tenant].count * self.settings.router_count / (RATE_SPAN / SECOND)
         limit = OVER_LATE if asked > (self.quotas.get(tenant) or asked) else LATE
         late = self.now - job.arrived + wait
         job.pause = round(late - LATE * job.aim)
-        limit *= AGAIN if job.request.retry else 1
+        limit *= AGAIN if job.request.is_retry else 1
         return late > limit * job.aim
 
     def lately_used(self, role: Role) -> list[Server]:
@@ -626,7 +659,7 @@
 
         Guards against holding on to what is lost when servers are gone, dead or full all together."""
         last = max(self.now, job.arrived + round(LATE * job.aim))
-        stages = [WRITERS, READERS if not (job.state_at or self.settings.writers_read) else tuple(Role)]
+        stages = [WRITERS, READERS if not (job.state_at or self.settings.append_prefill) else tuple(Role)]
         opens = max(self.opens(roles, job.pair, last) for roles in stages)
         job.pause = opens - self.now
         return opens > last
@@ -649,23 +682,26 @@
         """Give the writers that may read a request themselves where readers jam or are gone.
 
         Short prompts only (mixed servers: up to the mean), where none of ours waits and places are found."""
-        if not self.settings.writers_read or job.local is not None or self.crowding() > CROWDED:
+        if not self.settings.append_prefill or job.local is not None or self.crowding() > CROWDED:
             return []
-        size, most = job.request.prompt / (self.prompts.value or 1), {Role.WRITE: SHORT, Role.BOTH: 1.0}
+        size, most = (
+            job.request.prompt_tokens / (self.prompts.value or 1),
+            {Role.DECODE: SHORT, Role.MIXED: 1.0},
+        )
         fit = [s for s in self.writers(job) if size <= most[s.role] or not self.servers.count(*READERS)]
-        return [s for s in fit if not s.waiting and self.delay(s) <= SPILL * job.cls.aim]
+        return [s for s in fit if not s.waiting and self.delay(s) <= SPILL * job.cls.latency_objective]
 
     def delay(self, server: Server) -> int:
         """Guess how long new work waits at a server: as our oldest there does, or as the last one did."""
         waits = self.now - oldest.sent - self.reading_time(oldest.unread) if (oldest := server.oldest) else 0
-        if server.role is not Role.WRITE and self.reported(server):
-            return max(waits, self.reading_time(round(1000 * server.load.get("x1", 0))))
+        if server.role is not Role.DECODE and self.reported(server):
+            return max(waits, self.reading_time(round(server.load.queued_prompt_tokens or 0)))
         fading = server.lag > 0 and 1 - (self.now - server.lag_at) / (server.lag + self.interval(server) / 3)
         return max(0, waits, round(server.lag * fading))
 
     def interval(self, server: Server) -> int:
         """Give the mean time between two of our sends to a server of this role."""
-        rate = self.sends[server.role is Role.READ].add(self.now, 0)
+        rate = self.sends[server.role is Role.PREFILL].add(self.now, 0)
         return round(RATE_SPAN * self.servers.count(server.role) / max(1.0, rate))
 
     def reading_time(self, tokens: int) -> int:
@@ -673,10 +709,10 @@
 
     def unread(self, job: Job, server: Server) -> int:
         """Guess how much of a prompt a server has yet to read."""
-        kept = job.request.prefix_len if (job.request.prefix or "") in server.prefixes else 0
-        if job.row is not None and job.row.reader == server.entry.server:
+        kept = job.request.prefix_tokens if (job.request.prefix or "") in server.prefixes else 0
+        if job.row is not None and job.row.reader == server.entry.endpoint_id:
             kept = max(kept, job.row.read)
-        return max(0, job.request.prompt - kept)
+        return max(0, job.request.prompt_tokens - kept)
 
     def cell(self, job: Job) -> tuple[Mean, Mean]:
         """Give first-token and pace averages of a path, by context, new tokens over output, and load."""
@@ -684,7 +720,7 @@
             writers = self.candidates(WRITERS)
             load = sum(server.streams for server in writers) / max(1, len(writers))
             self.streams.add(load, BLEND)
-            long = job.request.prompt > (self.prompts.value or 0)
+            long = job.request.prompt_tokens > (self.prompts.value or 0)
             job.cell = (long, job.new > job.answer, load > self.streams.value)
         return self.cells.setdefault((job.cell, job.local is not None), (Mean(), Mean()))
 
@@ -695,7 +731,7 @@
             return None
         writers = self.usable(WRITERS, job.pair) or [server]
         busy = server.streams > BUSY_WRITER * max(1, median(s.streams for s in writers))
-        if busy or job.new >= NEW_SHARE * job.request.prompt:
+        if busy or job.new >= NEW_SHARE * job.request.prompt_tokens:
             return None
         self.cell(job)
         local, remote = (self.cells.get((job.cell, path), (Mean(), Mean())) for path in (True, False))
@@ -710,8 +746,8 @@
 
         What failed comes last of all. A session goes back first to the reader that read it, which keeps most
         of it. The order is worked out as far as it is asked for."""
-        slack = SPILL * job.cls.aim
-        bound = max(slack / SECOND * self.speed / self.settings.routers, self.prompts.value or 0)
+        slack = SPILL * job.cls.latency_objective
+        bound = max(slack / SECOND * self.speed / self.settings.router_count, self.prompts.value or 0)
         failed = {attempt.server for attempt in job.attempts if attempt.failed}
         past, failed_with_room = [], []
         for server in self.ring_order(job):
@@ -776,13 +812,15 @@
         cell = self.servers.by_cell.get(job.near.entry.cell) if job.near else None
         near = cell.spread(CANDIDATES, self.rng.getrandbits(16)) if cell else []
         more = [s for s in near if s.role in WRITERS and self.takes(s, job.pair)]
-        place = [job.place] if job.place and job.place.entry.state is State.LIVE else []
+        place = [job.place] if job.place and job.place.entry.status is EndpointStatus.READY else []
         return list(dict.fromkeys((*found, *more, *place)))
 
     def cost(self, job: Job, server: Server) -> float:
         """Weigh a writer: our part of its memory, its wait, and the state's move."""
         cost = server.held / server.memory if server.memory else float(server.streams)
-        cost += self.delay(server) / job.cls.aim + (OTHER_ZONE if self.now < server.slow_until else 0)
+        cost += self.delay(server) / job.cls.latency_objective + (
+            OTHER_ZONE if self.now < server.slow_until else 0
+        )
         if job.near is None or job.near.entry.cell == server.entry.cell:
             return cost
         return cost + (OTHER_CELL if job.near.entry.zone == server.entry.zone else OTHER_ZONE)
--- a/hoplane/decision/state.py
+++ b/llm_router/routing/state.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from .interface import ClassSettings, Entry, Request, Role
+from llm_router.routing.events import NO_REPORT, EndpointEntry, LoadReport, RequestReceived
+from llm_router.routing.settings import ClassSettings, Role
 
 
 @dataclass(slots=True)
@@ -51,7 +52,7 @@
 class Server:
     """A server as this router knows it."""
 
-    entry: Entry
+    entry: EndpointEntry
     role: Role
     memory: int
     out: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # our attempts out, oldest first
@@ -67,15 +68,15 @@
     slow_until: int = 0
     full: dict[tuple[str | None, str], int] = field(default_factory=dict)  # until when, by tenant and class
     next_cold: int | None = None  # when it may have its next send while cold
-    load: dict[str, float] = field(default_factory=dict)  # its last report
+    load: LoadReport = NO_REPORT  # its last report
     load_at: int | None = None  # when that came
     probed_at: int | None = None  # when it was asked for one that is still awaited
     kept_since: int = 0  # what it kept before this is gone
     prefixes: dict[str, Rate] = field(default_factory=dict)  # what it read of shared beginnings
 
-    def renew(self, entry: Entry, role: Role, now: int) -> None:
+    def renew(self, entry: EndpointEntry, role: Role, now: int) -> None:
         """Take a line of the list in; a restarted server is cold and keeps nothing."""
-        if entry.born > self.entry.born:
+        if entry.started_at > self.entry.started_at:
             self.next_cold, self.kept_since = None, now
             self.ejections = self.ejected_until = self.slow_until = self.lag = 0
             self.load_at = self.probed_at = None
@@ -125,14 +126,14 @@
     def take(self) -> None:
         """Book it as out."""
         self.job.attempts.append(self)
-        self.server.out[self.job.request.request, self.index] = self
+        self.server.out[self.job.request.request_id, self.index] = self
         self.server.held += self.held
         self.server.streams += not self.reads
 
     def drop(self) -> None:
         """Book it as over."""
         self.over = True
-        del self.server.out[self.job.request.request, self.index]
+        del self.server.out[self.job.request.request_id, self.index]
         self.server.held -= self.held
         self.server.streams -= not self.reads
 
@@ -168,7 +169,7 @@
 class Job:
     """A request taken, until its last attempt is in."""
 
-    request: Request
+    request: RequestReceived
     cls: ClassSettings
     arrived: int
     deadline: int
@@ -190,10 +191,12 @@
 
     def next_row(self, writer: Server, now: int) -> Row:
         """Give the session's row after this answer; a writer's own read leaves the reader as it was."""
-        reader = self.reader or (writer if writer.role is Role.BOTH else None)
+        reader = self.reader or (writer if writer.role is Role.MIXED else None)
         if reader is not None:
-            return Row(writer.entry.server, now, reader.entry.server, self.request.prompt)
-        return Row(writer.entry.server, now, *((self.row.reader, self.row.read) if self.row else (None, 0)))
+            return Row(writer.entry.endpoint_id, now, reader.entry.endpoint_id, self.request.prompt_tokens)
+        return Row(
+            writer.entry.endpoint_id, now, *((self.row.reader, self.row.read) if self.row else (None, 0))
+        )
 
     @property
     def out(self) -> list[Attempt]:
@@ -203,12 +206,12 @@
     @property
     def pair(self) -> tuple[str | None, str]:
         """Give its tenant and class."""
-        return self.request.tenant, self.request.cls
+        return self.request.tenant, self.request.class_name
 
     @property
     def spot(self) -> str:
         """Give what its place among a prefix's readers hangs on: the session, else the request itself."""
-        return self.request.session or self.request.request
+        return self.request.session or self.request.request_id
 
     @property
     def settled(self) -> bool:
@@ -218,15 +221,23 @@
     @property
     def aim(self) -> int:
         """Give the wanted time to the first token for a prompt of this length."""
-        return self.cls.aim + self.cls.aim_per_1000 * self.request.prompt // 1000
+        return (
+            self.cls.latency_objective
+            + self.cls.objective_per_1000_tokens * self.request.prompt_tokens // 1000
+        )
 
     @property
     def new(self) -> int:
         """Give the tokens beyond the shared beginning."""
-        return max(0, self.request.prompt - self.request.prefix_len)
+        return max(0, self.request.prompt_tokens - self.request.prefix_tokens)
 
     @property
     def answer(self) -> int:
         """Give the answer's length as hinted, else its told maximum."""
-        request, aim = self.request, self.cls.token_aim
-        return max(1, request.hint // aim if request.hint and aim else request.max_out)
+        request, aim = self.request, self.cls.token_interval
+        return max(
+            1,
+            request.expected_duration // aim
+            if request.expected_duration and aim
+            else request.max_output_tokens,
+        )
--- /dev/null
+++ b/llm_router/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator's wire, to and from the routing policy's messages."""
--- /dev/null
+++ b/llm_router/simulator/__main__.py
@@ -0,0 +1,23 @@
+"""The simulator's wire on standard input and output: `python -m llm_router.simulator`."""
+
+from __future__ import annotations
+
+import sys
+
+from llm_router.field_codec import FieldError
+from llm_router.simulator.host import Host, Lines
+
+
+def main() -> int:
+    """Serve the wire on standard input and output."""
+    lines = Lines(sys.stdin)
+    try:
+        Host().run(lines, sys.stdout)
+    except (FieldError, ValueError) as error:
+        print(f"adapter: line {lines.number}: {error}", file=sys.stderr)
+        return 1
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/hoplane/tool.py
+++ b/llm_router/tool.py
@@ -1,4 +1,4 @@
-"""Writes and checks an application's configuration: `python -m hoplane.tool init FOLDER`, `check FILE`."""
+"""Writes and checks an application's configuration: `python -m llm_router.tool init FOLDER`, `check FILE`."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import sys
 from pathlib import Path
 
-from hoplane import config as configuration
-from hoplane.config import ConfigError
-from hoplane.xds import Broken, read_clusters, read_endpoints
+from llm_router import configuration
+from llm_router.configuration import ConfigurationError
+from llm_router.xds import XdsFileError, read_clusters, read_endpoints
 
 TYPES = "type.googleapis.com/envoy.config."
 FILE = """\
-# hoplane beside the application {name}; check it with: python -m hoplane.tool check FILE
+# llm_router beside the application {name}; check it with: python -m llm_router.tool check FILE
 name = {quoted}
 listen = {listen}
 
@@ -69,7 +69,7 @@
     }
     effect = "side_effect" if once else "pure"
     texts = {
-        "hoplane.toml": FILE.format(
+        "llm_router.toml": FILE.format(
             name=name, quoted=json.dumps(name), listen=json.dumps(listen), effect=effect
         ),
         "clusters.json": json.dumps({"resources": [cluster]}, indent=1) + "\n",
@@ -78,7 +78,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     paths = {folder / file: text for file, text in texts.items()}
     if found := [path for path in paths if path.exists()]:
-        raise ConfigError(f"{found[0].name}: is there already")
+        raise ConfigurationError(f"{found[0].name}: is there already")
     for path, text in paths.items():
         path.write_text(text)
     return list(paths)
@@ -86,27 +86,27 @@
 
 def check(file: Path) -> str:
     """Check a file and the endpoints that it names; gives what was found."""
-    config = configuration.from_file(file)
-    path = config.files[0]
+    config = configuration.file_configuration(file)
+    path = config.xds_files[0]
     try:
         clusters = read_clusters(path.read_bytes())
-        path = config.files[1]
+        path = config.xds_files[1]
         listed = read_endpoints(path.read_bytes(), clusters)
-    except (OSError, Broken) as error:
-        raise ConfigError(f"{path.name}: {error}") from None
+    except (OSError, XdsFileError) as error:
+        raise ConfigurationError(f"{path.name}: {error}") from None
     kinds = {kind.name for kind in config.settings.kinds}
     for each in listed.values():
         for endpoint in each.endpoints:
             if endpoint.kind not in kinds:
-                raise ConfigError(f"{path.name}: {endpoint.name}: kind {endpoint.kind} is not known")
+                raise ConfigurationError(f"{path.name}: {endpoint.name}: kind {endpoint.kind} is not known")
     return ", ".join(f"{name}: {len(each.endpoints)} endpoints" for name, each in listed.items())
 
 
 def main(arguments: list[str]) -> int:
     """Run one command; 2 tells of a faulty key."""
-    parser = argparse.ArgumentParser(prog="hoplane.tool", description=__doc__)
+    parser = argparse.ArgumentParser(prog="llm_router.tool", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
-    making = commands.add_parser("init", help="write hoplane.toml, clusters.json and endpoints.json")
+    making = commands.add_parser("init", help="write llm_router.toml, clusters.json and endpoints.json")
     making.add_argument("folder", type=Path)
     making.add_argument("--name", default="app", help="the application's name, which is the model's")
     making.add_argument("--listen", default="127.0.0.1:8080")
@@ -122,7 +122,7 @@
                 print(path)
         else:
             print(f"{told.file}: well ({check(told.file)})")
-    except ConfigError as error:
+    except ConfigurationError as error:
         print(error, file=sys.stderr)
         return 2
     return 0
--- a/hoplane/net/acceptor.py
+++ b/llm_router/transport/acceptor.py
@@ -8,8 +8,8 @@
 from datetime import timedelta
 from enum import Enum, auto
 
-from hoplane import log
-from hoplane.net.arrival import Listener, Loop
+from llm_router import log
+from llm_router.transport.arrival import Listener, Loop
 
 FIRST_PAUSE = timedelta(milliseconds=1)  # after an accept that failed; doubled with each in a row
 LONGEST_PAUSE = timedelta(milliseconds=20)
@@ -69,7 +69,7 @@
     def fail(self, error: OSError) -> None:
         """Pause for a moment: no error of accept is a reason to stop for good."""
         self.failures += 1
-        log.seldom("accept_failed", error=repr(error), failures=self.failures)
+        log.emit_rate_limited("accept_failed", error=repr(error), failures=self.failures)
         self.state = AcceptorState.PAUSED
         self.loop.call_later(self.pause.total_seconds(), self.resume)
         self.pause = min(2 * self.pause, LONGEST_PAUSE)
@@ -95,7 +95,7 @@
     @staticmethod
     def broke_at_start(accepted: socket.socket, error: OSError) -> None:
         """Tell of a connection that ended before it was served."""
-        log.seldom("connection_broke_at_start", error=repr(error))
+        log.emit_rate_limited("connection_setup_failed", error=repr(error))
         accepted.close()
 
     @property
--- a/hoplane/net/aio.py
+++ b/llm_router/transport/aio.py
@@ -18,10 +18,10 @@
 from aiohttp.client_proto import ResponseHandler
 from aiohttp.web_protocol import RequestHandler, _ErrInfo
 
-from hoplane import log
-from hoplane.net.acknowledged import reset_if_unacknowledged
-from hoplane.net.arrival import Listener, input_since, looks
-from hoplane.net.resilient_socket import LOCAL_ERRORS, LocalError, NoSocketLeft
+from llm_router import log
+from llm_router.transport.acknowledged import reset_if_unacknowledged
+from llm_router.transport.arrival import Listener, input_since, looks
+from llm_router.transport.resilient_socket import LOCAL_ERRORS, LocalSocketError, SocketLimitError
 
 HEAD_MOST = 64 * 1024  # bytes of an answer's head, with all interim ones ahead of it
 HEAD_WAIT = timedelta(seconds=0.3)  # from a head's first byte to its end; it is written in one piece
@@ -38,27 +38,27 @@
 ARRIVED = web.RequestKey("arrived", float | None)
 
 
-class Spoilt(aiohttp.ClientPayloadError):
+class MalformedResponseError(aiohttp.ClientPayloadError):
     """An answer that cannot be read; its request may have run, and its connection is of no further use."""
 
 
 LOCAL_PAUSE = timedelta(milliseconds=1)  # after a connect that failed here; doubled with each in a row
 
 
-class FailedHere(aiohttp.ClientOSError):
+class LocalConnectError(aiohttp.ClientOSError):
     """A connection could not be made for a reason of this machine's: it tells nothing of the endpoint."""
 
 
 BROKEN = (ConnectionError, aiohttp.ClientOSError, aiohttp.ServerDisconnectedError)
 
 
-class Stale(aiohttp.ClientOSError):
+class StaleConnectionError(aiohttp.ClientOSError):
     """A connection kept from before broke under the next request, with nothing of an answer.
 
     Its endpoint may be well, as one closes what is idle; the request may have run."""
 
 
-class Peer(ResponseHandler):
+class UpstreamConnection(ResponseHandler):
     """A connection to an endpoint. What does not belong to the answer awaited ends it.
 
     Guards against answers that aiohttp waits for or takes without end: heads of any length, a chunk that
@@ -114,10 +114,10 @@
         """Tell whoever reads, the body's reader too, which aiohttp would leave to wait."""
         self.settle()
         if isinstance(exc, aiohttp.http_exceptions.HttpProcessingError):
-            exc = Spoilt(f"an answer that cannot be read: {exc.message}")
+            exc = MalformedResponseError(f"an answer that cannot be read: {exc.message}")
         elif self.idle and self.answer is None and not self.early and isinstance(exc, BROKEN):
             self.broke(self.idle)
-            exc, self.idle = Stale(f"idle for {self.idle:.3f} s"), 0.0
+            exc, self.idle = StaleConnectionError(f"idle for {self.idle:.3f} s"), 0.0
         super().set_exception(exc, *cause)
         if self.answer is not None and not self.answer.is_eof() and self.answer.exception() is None:
             told = exc if isinstance(exc, aiohttp.ClientError) else aiohttp.ClientConnectionError(repr(exc))
@@ -125,7 +125,7 @@
 
     def spoil(self, why: str) -> None:
         """End the connection; whoever waits for an answer on it is told."""
-        self.set_exception(Spoilt(why))
+        self.set_exception(MalformedResponseError(why))
         if self.transport is not None:
             self.transport.abort()
 
@@ -152,12 +152,12 @@
         super().connection_lost(exc)
 
 
-class Connector(aiohttp.TCPConnector):
+class UpstreamConnector(aiohttp.TCPConnector):
     """aiohttp's connector with connections of our kind, whose idle ones can be let go."""
 
     def __init__(self, **settings: object) -> None:
         super().__init__(**settings)
-        self._factory = functools.partial(Peer, loop=self._loop, broke=self.broke)
+        self._factory = functools.partial(UpstreamConnection, loop=self._loop, broke=self.broke)
         self.usual = self._keepalive_timeout
         self.broken: deque[float] = deque(maxlen=BREAKS)  # when kept connections broke of late
         self.failed_here = 0  # connects that failed for a reason of this machine's, in all
@@ -174,7 +174,7 @@
             return
         self.pause = min(2 * self.pause, KEEP_AGAIN_MOST) if now - self.again < self.pause else KEEP_AGAIN
         self.again, self._keepalive_timeout = now + self.pause, 0.0
-        log.say("connections_stale", idle_ms=round(idle * 1000), none_kept_for_s=self.pause)
+        log.emit("idle_connections_stale", idle_ms=round(idle * 1000), none_kept_for_s=self.pause)
 
     async def _create_connection(self, req, traces, timeout):
         """Make a connection; what fails for a reason of this machine's is tried again within the same bound.
@@ -187,16 +187,16 @@
                 return await super()._create_connection(req, traces, timeout)
             except aiohttp.ClientConnectorError as failure:
                 error = failure.os_error
-                if error.errno not in LOCAL_ERRORS and not isinstance(error, LocalError):
+                if error.errno not in LOCAL_ERRORS and not isinstance(error, LocalSocketError):
                     raise
-                log.seldom("connect_failed_here", error=repr(error))
+                log.emit_rate_limited("connect_failed_locally", error=repr(error))
                 self.failed_here += 1
-                if isinstance(error, NoSocketLeft):
-                    raise FailedHere(error.errno, str(error)) from error
+                if isinstance(error, SocketLimitError):
+                    raise LocalConnectError(error.errno, str(error)) from error
                 if self._loop.time() + pause > end:
                     if error.errno == errno.ENETUNREACH:
                         raise
-                    raise FailedHere(error.errno, str(error)) from error
+                    raise LocalConnectError(error.errno, str(error)) from error
             await asyncio.sleep(pause)
             pause *= 2
 
@@ -227,7 +227,7 @@
     session._retry_connection = False
 
 
-class Caller(RequestHandler):
+class ClientConnection(RequestHandler):
     """A client's connection. What cannot be read is answered once, and nothing behind it is taken.
 
     Guards against bytes lost to a reset: a connection closed over what is unread takes the answer with it.
@@ -248,7 +248,7 @@
         "made_at_look",
     )
 
-    def __init__(self, manager: Door, **settings: object) -> None:
+    def __init__(self, manager: HttpServer, **settings: object) -> None:
         super().__init__(manager, **settings)
         self.since = self._loop.time()
         self.deaf = self.served = self.holding = False
@@ -346,7 +346,7 @@
         """Word an error as our front does, with no line for each in the log."""
         if request.writer.output_size > 0:
             raise ConnectionError("an answer has begun")
-        log.seldom("bad_request", text=(message or repr(exc)).split("\n")[0][:200])
+        log.emit_rate_limited("request_malformed", text=(message or repr(exc)).split("\n")[0][:200])
         return self._manager.problem(status, "the request cannot be read", close=True)
 
     async def finish_response(self, request, resp, start_time):
@@ -363,7 +363,7 @@
     def force_close(self) -> None:
         """Close the connection; one over a request that was read and is not answered is told as a fault."""
         if not self.idle and self.transport is not None and not self.transport.is_closing():
-            log.say("invariant_broken", rule="closed_unanswered", open=self._request_count - self.answered)
+            log.emit("invariant_violated", rule="closed_unanswered", open=self._request_count - self.answered)
         super().force_close()
 
     def see_off(self) -> None:
@@ -400,12 +400,12 @@
         super().connection_lost(exc)
 
 
-class TurnedAway(asyncio.Protocol):
+class RejectedConnection(asyncio.Protocol):
     """Answers the request of one client connection too many, and closes it.
 
     Guards against a reset that overtakes the answer: it reads what comes and lets the client close first."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: HttpServer) -> None:
         self.door, self.answered = door, False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -428,7 +428,7 @@
         self.door.turned_away.pop(self, None)
 
 
-class Door(web.Server):
+class HttpServer(web.Server):
     """Takes client connections up to a bound; idle ones give way to new ones."""
 
     def __init__(
@@ -444,7 +444,7 @@
         # connections, and aiohttp's own wait for the rest of a body, which holds the answer's end back.
         super().__init__(handler, request_factory=self.make, handler_cancellation=True)
         self.caller = functools.partial(
-            Caller,
+            ClientConnection,
             self,
             loop=self._loop,
             auto_decompress=False,
@@ -456,8 +456,8 @@
         self.problem, self.most, self.turned_most, self.body_most = problem, most, turned_most, body_most
         self.ahead_left = ahead_most  # bytes that may be kept for all connections together
         self.winding_up = False
-        self.lingering: OrderedDict[Caller, None] = OrderedDict()
-        self.turned_away: OrderedDict[TurnedAway, None] = OrderedDict()
+        self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.turned_away: OrderedDict[RejectedConnection, None] = OrderedDict()
 
     def make(self, message, payload, protocol, writer, task) -> web.BaseRequest:
         request = web.BaseRequest(
@@ -477,8 +477,8 @@
     def __call__(self) -> asyncio.Protocol:
         if len(self._connections) < self.most or self.make_room():
             return self.caller()
-        log.seldom("client_turned_away", connections=self.most)
-        return TurnedAway(self)
+        log.emit_rate_limited("client_connection_rejected", connections=self.most)
+        return RejectedConnection(self)
 
     def make_room(self) -> bool:
         """Close the connection that is missed least: one that only ends, is silent, or idle for longest.
--- a/hoplane/net/arrival.py
+++ b/llm_router/transport/arrival.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from hoplane.net.resilient_socket import ResilientSocket
+from llm_router.transport.resilient_socket import ResilientSocket
 
 BLOCKED = 0.0005  # seconds: a look for input that took longer waited for it, so that it came just then
 
--- a/hoplane/net/discovery.py
+++ b/llm_router/transport/discovery.py
@@ -10,10 +10,10 @@
 import aiohttp
 import orjson
 
-from hoplane import log
-from hoplane.config import Config
-from hoplane.core.events import Listed
-from hoplane.net.pool import Pool
+from llm_router import log
+from llm_router.configuration import RouterConfig
+from llm_router.lifecycle.events import EndpointListReceived
+from llm_router.transport.pool import ConnectionPool
 
 WAIT = timedelta(seconds=2.5)  # that discovery may hold a watch open
 CALL = timedelta(seconds=1.2)  # for an answer beyond that wait, connecting included: an agent answers at once
@@ -28,7 +28,9 @@
 class Discovery:
     """One watch that goes on for ever, from a version that is known."""
 
-    def __init__(self, pool: Pool, address: str, read: Callable[[dict], Listed], feed: Callable) -> None:
+    def __init__(
+        self, pool: ConnectionPool, address: str, read: Callable[[dict], EndpointListReceived], feed: Callable
+    ) -> None:
         self.pool, self.address, self.read, self.feed = pool, address, read, feed
         self.index: int | None = None
         self.failing = False
@@ -38,13 +40,13 @@
     def __str__(self) -> str:
         return self.address
 
-    def moved(self, config: Config) -> Discovery:
+    def moved(self, config: RouterConfig) -> Discovery:
         """Give a new configuration's watch: another agent may number lists anew, so it asks for all."""
         moved = Discovery(self.pool, "{}:{}".format(*config.discovery), self.read, self.feed)
         moved.heard_at = self.heard_at
         return moved
 
-    def take(self, answer: object) -> None:
+    def accept_list(self, answer: object) -> None:
         """Take an answer in: a whole list replaces all, changes apply to a list we have."""
         if not isinstance(answer, dict) or not isinstance(answer.get("index"), int):
             raise ValueError("the list has no index")
@@ -56,7 +58,7 @@
         listed = self.read(answer)
         self.index = answer["index"]
         if whole or listed.endpoints:
-            self.feed(replace(listed, unheard=self.unheard()))
+            self.feed(replace(listed, since_last_answer=self.unheard()))
 
     def unheard(self) -> timedelta | None:
         """Give how long ago the last answer came, None if there was none."""
@@ -69,7 +71,7 @@
         while True:
             try:
                 answer = await (self.ask_for_list() if self.index is None else self.ask_for_changes())
-                self.take(answer)
+                self.accept_list(answer)
                 self.heard_at = asyncio.get_running_loop().time()
             except FAILURES as error:
                 self.lost(error)
@@ -79,13 +81,13 @@
                 self.index = None
                 raise
             if self.failing:
-                log.say("discovery_back", index=self.index)
+                log.emit("discovery_recovered", index=self.index)
             self.failing = False
 
     def lost(self, error: Exception) -> None:
         """Note a failed call; the whole list is asked for next, as changes may have been missed."""
         if not self.failing:
-            log.say("discovery_lost", error=repr(error))
+            log.emit("discovery_lost", error=repr(error))
         self.failing = True
         self.index = None
 
--- a/hoplane/net/outgoing.py
+++ b/llm_router/transport/outgoing.py
@@ -14,7 +14,7 @@
 before_write: ContextVar[BeforeWrite | None] = ContextVar("before_write", default=None)
 
 
-class Withdrawn(aiohttp.ClientConnectionError):
+class AttemptWithdrawnError(aiohttp.ClientConnectionError):
     """The request was not sent: its reason had gone by the time its connection was up."""
 
 
--- a/hoplane/net/pool.py
+++ b/llm_router/transport/pool.py
@@ -14,39 +14,39 @@
 from aiohttp import TraceConfig
 from yarl import URL
 
-from hoplane.config import Config
-from hoplane.net.aio import Connector, never_resend
-from hoplane.net.outgoing import BeforeWrite, LateRequest, before_write
-from hoplane.net.resilient_socket import NoSocketLeft, ResilientSocket
+from llm_router.configuration import RouterConfig
+from llm_router.transport.aio import UpstreamConnector, never_resend
+from llm_router.transport.outgoing import BeforeWrite, LateRequest, before_write
+from llm_router.transport.resilient_socket import ResilientSocket, SocketLimitError
 
 READ_AHEAD = 16 * 1024  # bytes taken from an endpoint before a slow client has taken them
-RESERVED = 4  # sockets that only discovery uses: one for its watch, others while broken ones end
-KEPT_FOR_RELEASES = 4  # of the sockets to endpoints: attempts leave them, so that a release finds one
+DISCOVERY_SOCKETS = 4  # sockets that only discovery uses: one for its watch, others while broken ones end
+RELEASE_SOCKETS = 4  # of the sockets to endpoints: attempts leave them, so that a release finds one
 IDLE_SHARE = 0.5  # of the endpoints' idle time: what is written to a connection later may end as a reset
 
 
 # Whether the running task's call may take a socket that is kept for releases.
-may_take_kept: ContextVar[bool] = ContextVar("may_take_kept", default=False)
+may_use_release_sockets: ContextVar[bool] = ContextVar("may_take_kept", default=False)
 
 
-class Pool:
+class ConnectionPool:
     """A client session that never waits for a connection, resends nothing and counts its sockets.
 
     `kept` of them are for releases alone."""
 
-    def __init__(self, config: Config, most: int, kept: int = 0) -> None:
-        self.most, self.kept, self.sockets = most, kept, WeakSet()
+    def __init__(self, config: RouterConfig, most: int, kept: int = 0) -> None:
+        self.max_sockets, self.release_sockets, self.sockets = most, kept, WeakSet()
         # Guards against aiohttp's total of 100, past which attempts would wait unseen: we count ourselves.
-        self.connector = Connector(
+        self.connector = UpstreamConnector(
             limit=0,
-            keepalive_timeout=(config.conn_idle * IDLE_SHARE).total_seconds(),
+            keepalive_timeout=(config.idle_timeout * IDLE_SHARE).total_seconds(),
             use_dns_cache=False,
             happy_eyeballs_delay=None,
-            socket_factory=self.open,
+            socket_factory=self.open_socket,
         )
         trace = TraceConfig(trace_config_ctx_factory=lambda trace_request_ctx=None: trace_request_ctx)
-        trace.on_request_headers_sent.append(self.sent)
-        trace.on_request_chunk_sent.append(self.sent)
+        trace.on_request_headers_sent.append(self.on_bytes_sent)
+        trace.on_request_chunk_sent.append(self.on_bytes_sent)
         # Guards against a total time-out of five minutes, which would cut long streams, and inflating.
         self.session = aiohttp.ClientSession(
             connector=self.connector,
@@ -60,15 +60,15 @@
         )
         never_resend(self.session)
 
-    def open(self, info: tuple) -> socket.socket:
+    def open_socket(self, info: tuple) -> socket.socket:
         """Make a socket, unless that would take more than our part of the descriptors."""
-        most = self.most if may_take_kept.get() else self.most - self.kept
+        most = self.max_sockets if may_use_release_sockets.get() else self.max_sockets - self.release_sockets
         if len(self.sockets) >= most:
             # Guards against counting closed ones, which stay in memory till a garbage collection.
             self.sockets = WeakSet(each for each in self.sockets if each.fileno() >= 0)
         # A dropped one closes a moment later, so one new connection may go before it.
         if len(self.sockets) >= most and not self.connector.drop_idle():
-            raise NoSocketLeft(errno.EMFILE, "no socket is left for another connection")
+            raise SocketLimitError(errno.EMFILE, "no socket is left for another connection")
         made = ResilientSocket(*info[:3])
         self.sockets.add(made)
         with suppress(OSError):
@@ -76,7 +76,7 @@
         return made
 
     @staticmethod
-    async def sent(session: object, context: asyncio.Event | None, params: object) -> None:
+    async def on_bytes_sent(session: object, context: asyncio.Event | None, params: object) -> None:
         """Note that bytes of a call are on their way."""
         if context is not None:
             context.set()
@@ -96,7 +96,7 @@
 
         `connect_within` shortens the usual wait for a new connection; `complete` is called when it is up."""
         before_write.set(complete)  # always: a task inherits what the one that started it had set
-        may_take_kept.set(for_release)
+        may_use_release_sockets.set(for_release)
         if connect_within is not None:
             bound = min(connect_within.total_seconds(), self.session.timeout.sock_connect)
             more["timeout"] = aiohttp.ClientTimeout(total=None, sock_connect=bound)
@@ -104,7 +104,7 @@
         url = URL(f"http://{address}{path}", encoded=True)
         return self.session.request(method, url, allow_redirects=False, trace_request_ctx=sent, **more)
 
-    async def get(self, address: str, path: str, within: timedelta) -> tuple[int, bytes] | None:
+    async def fetch(self, address: str, path: str, within: timedelta) -> tuple[int, bytes] | None:
         """Fetch a short text and give its status with it, None where it did not come."""
         try:
             async with asyncio.timeout(within.total_seconds()):
--- a/hoplane/net/resilient_socket.py
+++ b/llm_router/transport/resilient_socket.py
@@ -28,13 +28,13 @@
 INTERRUPTED_MOST = 8  # times that a connect is begun again after EINTR
 
 
-class LocalError(OSError):
+class LocalSocketError(OSError):
     """A call that failed for a reason of this machine's.
 
     Its own class, as Python makes EAGAIN and EINTR the errors that asyncio takes for a connect under way."""
 
 
-class NoSocketLeft(LocalError):
+class SocketLimitError(LocalSocketError):
     """Our own bound on sockets is reached: there is no use in trying again at once."""
 
 
@@ -53,13 +53,13 @@
                 continue  # it goes on by itself, which the next call tells as EALREADY, or was not begun
             except BlockingIOError as error:
                 if error.errno == errno.EAGAIN:
-                    raise LocalError(error.errno, error.strerror) from None
+                    raise LocalSocketError(error.errno, error.strerror) from None
                 raise
             except OSError as error:
                 if error.errno == errno.EISCONN:
                     return None
                 raise
-        raise LocalError(errno.EINTR, "connect was interrupted again and again")
+        raise LocalSocketError(errno.EINTR, "connect was interrupted again and again")
 
     def send(self, data: bytes, flags: int = 0) -> int:
         """Send what there is room for."""
--- a/hoplane/net/runtime.py
+++ b/llm_router/transport/runtime.py
@@ -7,25 +7,26 @@
 from collections.abc import Callable, Coroutine, MutableMapping
 from contextlib import suppress
 from datetime import timedelta
+from typing import Any
 
 import aiohttp
 
-from hoplane import log
-from hoplane.config import Config
-from hoplane.core import events as ev
-from hoplane.core.ledger import Ledger
-from hoplane.core.permits import Denial, check_reservation, check_write
-from hoplane.core.reducer import Conductor, reduce
-from hoplane.decision.interface import FAILED_HERE, KEPT, Status
-from hoplane.decision.rules import Router
-from hoplane.net.acknowledged import ArrivalWatch
-from hoplane.net.aio import FailedHere, Spoilt, Stale
-from hoplane.net.clock import Clock
-from hoplane.net.held_calls import HeldStateCalls
-from hoplane.net.outgoing import Withdrawn
-from hoplane.net.pool import Pool
-from hoplane.net.server import Bodies
-from hoplane.net.wire import Call, Exchange, Sink
+from llm_router import log
+from llm_router.configuration import RouterConfig
+from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.idempotency_registry import IdempotencyRegistry
+from llm_router.lifecycle.reducer import RouterState, reduce
+from llm_router.lifecycle.send_guard import Denial, check_attempt, check_reserve
+from llm_router.routing.events import NO_REPORT, AttemptStatus, ConnectionFault, LoadReport
+from llm_router.routing.policy import RoutingPolicy
+from llm_router.transport.acknowledged import ArrivalWatch
+from llm_router.transport.aio import LocalConnectError, MalformedResponseError, StaleConnectionError
+from llm_router.transport.clock import Clock
+from llm_router.transport.frontend_protocol import ProxiedRequest, ResponseSink, UpstreamRequest
+from llm_router.transport.kv_lease_calls import KvLeaseCalls
+from llm_router.transport.outgoing import AttemptWithdrawnError
+from llm_router.transport.pool import ConnectionPool
+from llm_router.transport.server import BodyMemoryBudget
 
 HEAD_MOST = 64 * 1024  # bytes read of an answer that is not a stream
 TAIL = 2048  # bytes kept of a stream's end, where usage and the load report stand
@@ -41,9 +42,9 @@
     return "Transfer-Encoding" in answer.headers or "Content-Length" in answer.headers
 
 
-def no_report(body: bytes) -> dict[str, float]:
+def no_report(body: bytes) -> LoadReport:
     """Read no report: these endpoints give none."""
-    return {}
+    return NO_REPORT
 
 
 def nowhere(id: str) -> None:
@@ -55,41 +56,41 @@
 
     def __init__(
         self,
-        config: Config,
-        pool: Pool,
+        config: RouterConfig,
+        pool: ConnectionPool,
         reservation_path: Callable[[str], str | None] = nowhere,
         load_path: str = "",
-        read_report: Callable[[bytes], dict[str, float]] = no_report,
+        read_report: Callable[[bytes], LoadReport] = no_report,
     ) -> None:
         self.config, self.pool, self.clock = config, pool, Clock()
-        ledger = Ledger(config.ledger_most, config.ledger_keep)
-        self.state = Conductor(config.settings, Router(config.settings, config.seed), ledger)
+        ledger = IdempotencyRegistry(config.idempotency_capacity, config.idempotency_retention)
+        self.state = RouterState(config.settings, RoutingPolicy(config.settings, config.seed), ledger)
         self.load_path, self.read_report = load_path, read_report
         self.loop = asyncio.get_running_loop()
-        self.answers = Bodies(config.limits.bodies)
-        self.exchanges: dict[str, Exchange] = {}
+        self.answers = BodyMemoryBudget(config.limits.body_memory)
+        self.proxied_requests: dict[str, ProxiedRequest] = {}
         self.attempts: dict[tuple[str, int], asyncio.Task] = {}
         self.sent: dict[tuple[str, int], asyncio.Event] = {}
         self.tasks: set[asyncio.Task] = set()
-        self.held_calls = HeldStateCalls(
-            pool, reservation_path, self.spawn, self.feed, self.check_reservation
-        )
-        self.queue: deque[ev.Event] = deque()
+        self.held_calls = KvLeaseCalls(pool, reservation_path, self.spawn, self.feed, self.check_reservation)
+        self.queue: deque[events.Event] = deque()
         self.busy = False
         self.effects = {
-            ev.Forward: self.forward,
-            ev.Abandon: self.abandon,
-            ev.Reserve: self.reserve,
-            ev.Release: self.held_calls.release,
-            ev.StopReleases: self.held_calls.stop_releases,
-            ev.Refuse: self.refuse,
-            ev.Fail: self.fail,
-            ev.Wake: self.wake,
-            ev.AskLoad: lambda effect: self.spawn(self.probe(effect)),
-            ev.Say: lambda effect: (log.seldom if effect.seldom else log.say)(effect.event, **effect.facts),
+            effects.OpenAttempt: self.forward,
+            effects.AbortAttempt: self.abandon,
+            effects.Reserve: self.reserve,
+            effects.Release: self.held_calls.release,
+            effects.CancelReleases: self.held_calls.stop_releases,
+            effects.SendRejection: self.refuse,
+            effects.SendFailure: self.fail,
+            effects.ScheduleTimer: self.wake,
+            effects.FetchLoadReport: lambda effect: self.spawn(self.probe(effect)),
+            effects.LogEvent: lambda effect: (log.emit_rate_limited if effect.rate_limited else log.emit)(
+                effect.name, **effect.fields
+            ),
         }
 
-    def feed(self, event: ev.Event) -> None:
+    def feed(self, event: events.Event) -> None:
         """Take an event in and perform what it calls for; events met meanwhile come after it, in order.
 
         What breaks is a fault of ours; it is raised once the others have had their turn."""
@@ -119,9 +120,9 @@
         """Tell of work that broke: it must not end in silence."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            log.say("task_broke", error=repr(error))
+            log.emit("task_failed", error=repr(error))
 
-    async def rest(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until nothing is out any more, and all that was held for requests is released."""
         while self.tasks or self.state.requests:
             if self.tasks:
@@ -131,93 +132,97 @@
 
     # --- effects
 
-    def wake(self, effect: ev.Wake) -> None:
-        self.loop.call_at(self.clock.loop_time(effect.at), self.feed, ev.Due(effect.timer))
+    def wake(self, effect: effects.ScheduleTimer) -> None:
+        self.loop.call_at(self.clock.loop_time(effect.at), self.feed, events.TimerFired(effect.timer))
 
-    def refuse(self, effect: ev.Refuse) -> None:
-        if exchange := self.exchanges.get(effect.id):
-            exchange.refuse(effect.pause)
+    def refuse(self, effect: effects.SendRejection) -> None:
+        if exchange := self.proxied_requests.get(effect.request_id):
+            exchange.reject(effect.retry_after)
 
-    def fail(self, effect: ev.Fail) -> None:
-        if exchange := self.exchanges.get(effect.id):
-            exchange.fail(effect.clash)
+    def fail(self, effect: effects.SendFailure) -> None:
+        if exchange := self.proxied_requests.get(effect.request_id):
+            exchange.fail(effect.id_conflict)
 
-    def forward(self, effect: ev.Forward) -> None:
-        key = effect.id, effect.attempt
+    def forward(self, effect: effects.OpenAttempt) -> None:
+        key = effect.request_id, effect.attempt
         self.sent[key] = asyncio.Event()
-        task = self.attempts[key] = self.spawn(self.play(effect, self.exchanges[effect.id]))
+        task = self.attempts[key] = self.spawn(self.play(effect, self.proxied_requests[effect.request_id]))
         task.add_done_callback(lambda task: self.over(effect, task))
 
-    def abandon(self, effect: ev.Abandon) -> None:
-        if task := self.attempts.get((effect.id, effect.attempt)):
+    def abandon(self, effect: effects.AbortAttempt) -> None:
+        if task := self.attempts.get((effect.request_id, effect.attempt)):
             task.cancel()
 
-    def reserve(self, effect: ev.Reserve) -> None:
-        key = effect.id, effect.attempt
+    def reserve(self, effect: effects.Reserve) -> None:
+        key = effect.request_id, effect.attempt
         prefill_sent = self.sent.get(key)
         self.spawn(self.held_calls.reserve(effect, prefill_sent, lambda: self.attempts.get(key)))
 
-    def check_reservation(self, effect: ev.Reserve) -> Denial | None:
+    def check_reservation(self, effect: effects.Reserve) -> Denial | None:
         """Tell why a place may not be asked for now, None if it may."""
-        request = self.state.requests.get(effect.id)
-        return check_reservation(self.state, request, effect.attempt, effect.endpoint.name)
+        return check_reserve(self.state, effect)
 
     # --- work
 
-    def over(self, effect: ev.Forward, task: asyncio.Task) -> None:
+    def over(self, effect: effects.OpenAttempt, task: asyncio.Task) -> None:
         """Tell of an attempt's end; its connection is free or closed by now.
 
         Guards against a task that is cancelled before its first step, whose own code never runs: without an
         outcome the module would wait for ever, and what is held would stay."""
-        key = effect.id, effect.attempt
+        key = effect.request_id, effect.attempt
         del self.attempts[key]
         self.sent.pop(key).set()
         if task.cancelled():
-            ended = ev.Ended(*key, Status.CANCELLED)
+            ended = events.AttemptEnded(*key, AttemptStatus.CANCELLED)
         else:
-            ended = ev.Ended(*key, Status.ERROR) if task.exception() else task.result()
+            ended = events.AttemptEnded(*key, AttemptStatus.ERROR) if task.exception() else task.result()
         self.feed(ended)
 
-    async def play(self, effect: ev.Forward, exchange: Exchange) -> ev.Ended:
+    async def play(self, effect: effects.OpenAttempt, exchange: ProxiedRequest) -> events.AttemptEnded:
         """Send the request, and pass its answer on where there is one."""
-        sent = self.sent[effect.id, effect.attempt]
+        sent = self.sent[effect.request_id, effect.attempt]
 
-        def over(status: Status, note: int = 0, load: dict[str, float] | None = None) -> ev.Ended:
-            return ev.Ended(effect.id, effect.attempt, status, note, load or {})
+        def over(status: AttemptStatus, **details: Any) -> events.AttemptEnded:
+            return events.AttemptEnded(effect.request_id, effect.attempt, status, **details)
 
-        if effect.release_first:
-            await self.held_calls.wait_for_release(effect.id)
-        call, begun = exchange.call(effect), self.loop.time()
-        watch = ArrivalWatch(self.loop, lambda: self.feed(ev.Unacknowledged(effect.id, effect.attempt)))
+        if effect.awaits_release:
+            await self.held_calls.wait_for_release(effect.request_id)
+        call, begun = exchange.upstream_request(effect), self.loop.time()
+        watch = ArrivalWatch(
+            self.loop, lambda: self.feed(events.AttemptUnacknowledged(effect.request_id, effect.attempt))
+        )
         try:
             answer = await self.pool.request(
                 call.method,
                 effect.endpoint.address,
                 call.path,
                 sent,
-                effect.connect_within,
+                effect.connect_timeout,
                 lambda headers, transport: self.complete(effect, call, headers, transport, watch),
                 headers=call.headers,
                 data=call.body,
             )
-        except Withdrawn:
-            return over(Status.MOOT)
-        except Spoilt as error:
+        except AttemptWithdrawnError:
+            return over(AttemptStatus.NOT_SENT)
+        except MalformedResponseError as error:
             return over(self.spoilt(effect, error))
         except asyncio.CancelledError:
             if self.loop.time() - begun > UNHEARD.total_seconds():
                 self.pool.connector.drop_idle(effect.endpoint.address)
             raise
-        except Stale:
-            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED, KEPT)
-        except FailedHere:
-            return over(Status.CONNECT_FAILED, FAILED_HERE)
+        except StaleConnectionError:
+            return over(
+                AttemptStatus.RESET if sent.is_set() else AttemptStatus.CONNECT_FAILED,
+                connection_fault=ConnectionFault.STALE,
+            )
+        except LocalConnectError:
+            return over(AttemptStatus.CONNECT_FAILED, connection_fault=ConnectionFault.LOCAL)
         except (aiohttp.ClientError, OSError, TimeoutError):
             # Guards against a machine that is cut off, which gives no sign: the next request on a connection
             # kept from before would wait in silence again, while a new one fails as soon as a connect may.
             self.pool.connector.drop_idle(effect.endpoint.address)
             # Guards a booking: a break counts as never run only while no byte of it can have gone.
-            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED)
+            return over(AttemptStatus.RESET if sent.is_set() else AttemptStatus.CONNECT_FAILED)
         finally:
             watch.stop()
         whole = False
@@ -228,11 +233,18 @@
                 whole = body is not None
                 if whole:
                     head = exchange.read_head(answer.status, answer.headers, body)
-                return over(head.status, head.note, head.load)
+                return over(
+                    head.status,
+                    cached_tokens=head.cached_tokens,
+                    state_missing=head.state_missing,
+                    load=head.load_report,
+                )
             status, tail = await self.relay(effect, exchange, answer)
-            whole = status is Status.OK
-            note, load = exchange.read_tail(tail)
-            return over(status, note, {**head.load, **load})
+            whole = status is AttemptStatus.OK
+            end = exchange.read_tail(tail)
+            return over(
+                status, cached_tokens=end.cached_tokens, load=head.load_report.updated(end.load_report)
+            )
         finally:
             if whole and answer.content.at_eof():
                 answer.release()
@@ -241,8 +253,8 @@
 
     def complete(
         self,
-        effect: ev.Forward,
-        call: Call,
+        effect: effects.OpenAttempt,
+        call: UpstreamRequest,
         headers: MutableMapping[str, str],
         transport: asyncio.Transport | None,
         watch: ArrivalWatch,
@@ -250,15 +262,18 @@
         """Tell the time that is left once the connection is up, or withdraw what may not be sent any more."""
         now = self.clock.now()
         left = effect.deadline - now
-        request = self.state.requests.get(effect.id)
-        denial = check_write(self.state, now, request, effect.attempt, effect.deadline, effect.not_after)
+        denial = check_attempt(self.state, now, effect)
         if denial is not None:
-            facts = {"request": effect.id, "attempt": effect.attempt, "endpoint": effect.endpoint.name}
-            log.seldom("attempt_withdrawn", why=denial.value, **facts)
-            raise Withdrawn
-        if call.time_left:
-            headers[call.time_left] = str(max(1, left // timedelta(milliseconds=1)))
-        self.feed(ev.Sent(effect.id, effect.attempt))
+            facts = {
+                "request": effect.request_id,
+                "attempt": effect.attempt,
+                "endpoint": effect.endpoint.name,
+            }
+            log.emit_rate_limited("attempt_withdrawn", reason=denial.value, **facts)
+            raise AttemptWithdrawnError
+        if call.deadline_header:
+            headers[call.deadline_header] = str(max(1, left // timedelta(milliseconds=1)))
+        self.feed(events.AttemptWritten(effect.request_id, effect.attempt))
         watch.start(transport)
 
     @staticmethod
@@ -273,38 +288,45 @@
                     data += part
         return None
 
-    def spoilt(self, effect: ev.Forward, error: Exception) -> Status:
+    def spoilt(self, effect: effects.OpenAttempt, error: Exception) -> AttemptStatus:
         """Tell of an answer that cannot be read: the endpoint is up, and the request may have run."""
-        log.seldom("answer_spoilt", endpoint=effect.endpoint.name, request=effect.id, error=str(error)[:200])
-        return Status.ERROR
+        log.emit_rate_limited(
+            "response_malformed",
+            endpoint=effect.endpoint.name,
+            request=effect.request_id,
+            error=str(error)[:200],
+        )
+        return AttemptStatus.ERROR
 
-    async def relay(self, effect: ev.Forward, exchange: Exchange, answer: aiohttp.ClientResponse):
+    async def relay(
+        self, effect: effects.OpenAttempt, exchange: ProxiedRequest, answer: aiohttp.ClientResponse
+    ):
         """Pass a stream on, event by event as they come; a break is the client's too once one has gone.
 
         Guards against passing on as good what a spoilt piece holds: an event goes out once it is whole."""
         sink, tail, began = exchange.sink, b"", False
-        if sink.whole:
+        if sink.buffered:
             return await self.relay_whole(effect, sink, answer)
-        sink.begin()
+        sink.reset()
         try:
             last = False
             while not last:
                 async with asyncio.timeout(QUIET.total_seconds() if began else None):
-                    while not (data := sink.take(part := await answer.content.readany())) and part:
+                    while not (data := sink.feed(part := await answer.content.readany())) and part:
                         pass  # a piece of an event is no sign of life: the quiet time runs on
                 last = not part
                 if last:
-                    data = sink.rest(framed=answer.content.at_eof() and framed(answer))
+                    data = sink.flush(framed=answer.content.at_eof() and framed(answer))
                 if not data:
                     continue
                 if not began:
                     began = True
-                    self.feed(ev.Began(effect.id, effect.attempt))
+                    self.feed(events.ResponseStarted(effect.request_id, effect.attempt))
                     await sink.start()
                 tail = (tail + data)[-TAIL:]
                 await sink.write(data)
             if not began:
-                raise Spoilt("a stream with no event")
+                raise MalformedResponseError("a stream with no event")
         except asyncio.CancelledError:
             if began:
                 sink.abort()
@@ -313,51 +335,57 @@
             # Guards against errors of any kind that would leave a client to wait on a stream that has ended.
             if began:
                 sink.abort()
-            if isinstance(error, Spoilt | ValueError):
+            if isinstance(error, MalformedResponseError | ValueError):
                 return self.spoilt(effect, error), tail
             if not isinstance(error, aiohttp.ClientError | OSError | TimeoutError):
-                log.say("relay_broke", error=repr(error))
-            return Status.RESET, tail
+                log.emit("relay_failed", error=repr(error))
+            return AttemptStatus.RESET, tail
         await sink.finish()
-        return Status.OK, tail
+        return AttemptStatus.OK, tail
 
-    async def relay_whole(self, effect: ev.Forward, sink: Sink, answer: aiohttp.ClientResponse):
+    async def relay_whole(
+        self, effect: effects.OpenAttempt, sink: ResponseSink, answer: aiohttp.ClientResponse
+    ):
         """Pass an answer on once it is whole."""
         try:
             data = await self.read_whole(answer, sink)
-        except Spoilt as error:
+        except MalformedResponseError as error:
             return self.spoilt(effect, error), b""
         except (aiohttp.ClientError, OSError, TimeoutError, RuntimeError):
-            return Status.RESET, b""
+            return AttemptStatus.RESET, b""
         if data is None:
-            return Status.ERROR, b""
-        if not sink.sound(data):
-            return Status.RESET, b""
-        self.feed(ev.Began(effect.id, effect.attempt))
+            return AttemptStatus.ERROR, b""
+        if not sink.is_complete(data):
+            return AttemptStatus.RESET, b""
+        self.feed(events.ResponseStarted(effect.request_id, effect.attempt))
         await sink.start()
         await sink.write(data)
         await sink.finish()
-        return Status.OK, data
+        return AttemptStatus.OK, data
 
-    async def read_whole(self, answer: aiohttp.ClientResponse, sink: Sink) -> bytes | None:
+    async def read_whole(self, answer: aiohttp.ClientResponse, sink: ResponseSink) -> bytes | None:
         """Read an answer to its end within the memory for answers, None where it is too much."""
         data = bytearray()
         while part := await answer.content.readany():
             # Guards against endpoints that answer more, all together, than the limit on memory allows.
-            if not self.answers.take(len(part)):
-                self.answers.give(len(data))
-                log.seldom("answer_too_large", read=len(data))
+            if not self.answers.reserve(len(part)):
+                self.answers.release(len(data))
+                log.emit_rate_limited("response_too_large", read=len(data))
                 return None
             data += part
-        sink.done.add_done_callback(lambda done: self.answers.give(len(data)))
+        sink.done.add_done_callback(lambda done: self.answers.release(len(data)))
         return bytes(data)
 
-    async def probe(self, effect: ev.AskLoad) -> None:
+    async def probe(self, effect: effects.FetchLoadReport) -> None:
         """Fetch an endpoint's load report; one that takes too long is worth no more."""
         begun = self.loop.time()
-        answer = await self.pool.get(effect.endpoint.address, self.load_path, PROBE_WAIT)
-        status, load = Status.TIMEOUT, {}
+        answer = await self.pool.fetch(effect.endpoint.address, self.load_path, PROBE_WAIT)
+        status, load = AttemptStatus.TIMEOUT, NO_REPORT
         if answer is not None:
-            status = Status.OK if answer[0] == 200 else Status.ERROR
-            load = self.read_report(answer[1]) if status is Status.OK else {}
-        self.feed(ev.Loaded(effect.server, status, timedelta(seconds=self.loop.time() - begun), load))
+            status = AttemptStatus.OK if answer[0] == 200 else AttemptStatus.ERROR
+            load = self.read_report(answer[1]) if status is AttemptStatus.OK else NO_REPORT
+        self.feed(
+            events.LoadReportReceived(
+                effect.endpoint_id, status, timedelta(seconds=self.loop.time() - begun), load
+            )
+        )
--- a/hoplane/net/server.py
+++ b/llm_router/transport/server.py
@@ -9,10 +9,10 @@
 
 from aiohttp import web
 
-from hoplane import log
-from hoplane.config import BODY_MOST, Config, Limits
-from hoplane.net.acceptor import Acceptor
-from hoplane.net.aio import ARRIVED, Door, listening
+from llm_router import log
+from llm_router.configuration import MAX_BODY_BYTES, ResourceLimits, RouterConfig
+from llm_router.transport.acceptor import Acceptor
+from llm_router.transport.aio import ARRIVED, HttpServer, listening
 
 BODY_WAIT = timedelta(seconds=2.6)  # for a body: a new client is owed an error or a close within 3 s
 LINGER = timedelta(seconds=0.5)  # after SIGTERM, as clients keep coming for 0.2 to 0.4 s
@@ -33,7 +33,7 @@
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-class Relay(web.StreamResponse):
+class StreamedResponse(web.StreamResponse):
     """A stream on its way to a client; an aborted one never sends the last chunk."""
 
     aborted = False
@@ -50,26 +50,26 @@
             await super().write_eof(data)
 
 
-class StreamSink:
+class EventStreamSink:
     """Passes an answer's events on to an HTTP/1.1 client as they come, each once it is whole.
 
     Guards against a spoilt stream: a size that does not fit shows as lines that are none of an event's, and
     one that lies as a piece or a whole without end."""
 
-    whole = False
+    buffered = False
 
-    def __init__(self, request: web.BaseRequest, response: Relay, done: asyncio.Future) -> None:
+    def __init__(self, request: web.BaseRequest, response: StreamedResponse, done: asyncio.Future) -> None:
         self.request, self.response, self.done = request, response, done
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Begin an attempt's stream: nothing is left of an earlier one that was spoilt."""
         self.part, self.taken = b"", 0
 
-    def take(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Take a piece of the stream in and give the whole events that may go out now."""
         self.taken += len(data)
-        if self.taken > BODY_MOST:
+        if self.taken > MAX_BODY_BYTES:
             raise ValueError("a stream over 256 KiB")
         data = self.part + data
         end = max((data.rfind(mark) + len(mark) for mark in EVENT_ENDS if mark in data), default=0)
@@ -80,7 +80,7 @@
             raise ValueError("what is no event")
         return out
 
-    def rest(self, framed: bool) -> bytes:
+    def flush(self, framed: bool) -> bytes:
         """Give what is left at the stream's end, whose last line may do without an empty one."""
         if not framed:
             raise ConnectionError("a stream whose end cannot be known")
@@ -114,48 +114,48 @@
             return
 
 
-class Bodies:
+class BodyMemoryBudget:
     """The memory that bodies take; what would go over the bound is refused before it is read."""
 
     def __init__(self, most: int) -> None:
-        self.most = self.left = most
+        self.capacity = self.available = most
 
     def resize(self, most: int) -> None:
-        self.left += most - self.most
-        self.most = most
+        self.available += most - self.capacity
+        self.capacity = most
 
-    def take(self, size: int) -> bool:
-        if size > self.left:
+    def reserve(self, size: int) -> bool:
+        if size > self.available:
             return False
-        self.left -= size
+        self.available -= size
         return True
 
-    def give(self, size: int) -> None:
-        self.left += size
+    def release(self, size: int) -> None:
+        self.available += size
 
 
-class Server:
+class FrontendServer:
     """Serves one front on one address."""
 
-    def __init__(self, config: Config, handler: Handler, problem: Callable[..., web.Response]) -> None:
+    def __init__(self, config: RouterConfig, handler: Handler, problem: Callable[..., web.Response]) -> None:
         self.config, self.handler, self.problem = config, handler, problem
-        self.bodies = Bodies(config.limits.bodies)
-        self.stopping = False
-        self.open = 0
-        self.door = Door(
+        self.body_memory = BodyMemoryBudget(config.limits.body_memory)
+        self.shutting_down = False
+        self.open_requests = 0
+        self.door = HttpServer(
             self.handle,
             problem,
-            config.limits.clients,
-            config.limits.turned_away,
-            BODY_MOST,
-            config.limits.bodies // AHEAD_PART,
+            config.limits.client_sockets,
+            config.limits.rejected_clients,
+            MAX_BODY_BYTES,
+            config.limits.body_memory // AHEAD_PART,
         )
         self.acceptor: Acceptor | None = None
 
-    def resize(self, limits: Limits) -> None:
+    def apply_limits(self, limits: ResourceLimits) -> None:
         """Put new limits in force; what is over them ends by itself."""
-        self.door.most = limits.clients
-        self.bodies.resize(limits.bodies)
+        self.door.most = limits.client_sockets
+        self.body_memory.resize(limits.body_memory)
 
     async def start(self) -> None:
         # Guards against a flood of connections that takes all descriptors at once: only so many are accepted
@@ -166,21 +166,21 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve a request; while we stop, its connection ends with its answer."""
-        self.open += 1
+        self.open_requests += 1
         try:
             response = await self.handler(request)
         except Exception as error:
             # Guards against a fault of ours that ends a connection unanswered, or in words of another wire.
-            log.say("request_broke", error=repr(error))
+            log.emit("request_handler_failed", error=repr(error))
             response = self.problem(500, "a fault of the conductor")
         finally:
-            self.open -= 1
-        if self.stopping and not response.prepared:
+            self.open_requests -= 1
+        if self.shutting_down and not response.prepared:
             response.force_close()
         return response
 
     @staticmethod
-    def waited(request: web.BaseRequest) -> timedelta:
+    def queueing_delay(request: web.BaseRequest) -> timedelta:
         """Give how long a request that has been read may have waited, from its last byte on."""
         since = request[ARRIVED]
         if since is None:
@@ -188,25 +188,25 @@
         return timedelta(seconds=max(0.0, asyncio.get_running_loop().time() - since))
 
     @staticmethod
-    async def look_for_the_end(request: web.BaseRequest) -> None:
+    async def detect_disconnect(request: web.BaseRequest) -> None:
         """Let the loop read what lies behind a request that has waited; a client that left ends its handler.
 
         Guards against work for a client that went long ago: its end is read only after its request."""
-        if Server.waited(request) > GONE_MEANWHILE:
+        if FrontendServer.queueing_delay(request) > GONE_MEANWHILE:
             for _ in range(TURNS_TO_LEARN):
                 await asyncio.sleep(0)
 
     @staticmethod
-    def size(request: web.BaseRequest) -> int:
+    def body_size_bound(request: web.BaseRequest) -> int:
         """Give how much memory a body may take; one of untold length may take the most."""
         if request.content_length is None:
-            return BODY_MOST if request.can_read_body else 0
-        return min(request.content_length, BODY_MOST)
+            return MAX_BODY_BYTES if request.can_read_body else 0
+        return min(request.content_length, MAX_BODY_BYTES)
 
-    async def read(self, request: web.BaseRequest) -> bytes | web.Response:
+    async def read_body(self, request: web.BaseRequest) -> bytes | web.Response:
         """Read a body within the bounds, or give the answer that refuses it."""
         size = request.content_length
-        if size is not None and size > BODY_MOST:
+        if size is not None and size > MAX_BODY_BYTES:
             return problem(413, "the body is over 256 KiB", close=True)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -218,14 +218,14 @@
         except TimeoutError:
             return problem(408, "the body did not arrive", close=True)
 
-    async def stop(self) -> None:
+    async def shut_down(self) -> None:
         """Take what still comes for a moment, then close what is idle and wait for the rest."""
-        self.stopping = True
+        self.shutting_down = True
         await asyncio.sleep(LINGER.total_seconds())
         await self.accept_all()
         self.acceptor.close()
         self.door.wind_up()
-        while self.open or self.door.busy:
+        while self.open_requests or self.door.busy:
             await asyncio.sleep(0.005)
         end = asyncio.get_running_loop().time() + LAST.total_seconds()
         while self.door.connections and asyncio.get_running_loop().time() < end:
--- a/hoplane/net/supervisor.py
+++ b/llm_router/transport/supervisor.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from datetime import timedelta
 
-from hoplane import log
+from llm_router import log
 
 FIRST_PAUSE = timedelta(milliseconds=20)  # before a restart; doubled with each failure in a row
 LONGEST_PAUSE = timedelta(milliseconds=500)
@@ -32,7 +32,7 @@
             except Exception as raised:
                 error = raised
             self.restarts += 1
-            log.say("task_restarted", task=self.name, restarts=self.restarts, error=repr(error))
+            log.emit("task_restarted", task=self.name, restarts=self.restarts, error=repr(error))
             steady = loop.time() - begun > STEADY_AFTER.total_seconds()
             pause = FIRST_PAUSE if steady else min(2 * pause, LONGEST_PAUSE)
             await asyncio.sleep(pause.total_seconds())
--- a/hoplane/xds.py
+++ b/llm_router/xds.py
@@ -12,25 +12,26 @@
 
 import orjson
 
-from hoplane import log
-from hoplane.config import Config, ConfigError
-from hoplane.core.events import Endpoint, Listed
-from hoplane.core.start_times import read_start
-from hoplane.decision.interface import State
+from llm_router import log
+from llm_router.configuration import ConfigurationError, RouterConfig
+from llm_router.lifecycle.endpoint import Endpoint
+from llm_router.lifecycle.events import EndpointListReceived
+from llm_router.lifecycle.start_times import parse_start_time
+from llm_router.routing.events import EndpointStatus
 
 LOOK = timedelta(milliseconds=200)  # between looks at the files: a drain must count within 1 s
 OURS = "hoplane"  # our key in filter_metadata
 HEALTH = {  # whoever is not well gets nothing new, and ends what it has
-    "UNKNOWN": State.LIVE,
-    "HEALTHY": State.LIVE,
-    "DEGRADED": State.LIVE,
-    "DRAINING": State.DRAINING,
-    "UNHEALTHY": State.DRAINING,
-    "TIMEOUT": State.DRAINING,
+    "UNKNOWN": EndpointStatus.READY,
+    "HEALTHY": EndpointStatus.READY,
+    "DEGRADED": EndpointStatus.READY,
+    "DRAINING": EndpointStatus.DRAINING,
+    "UNHEALTHY": EndpointStatus.DRAINING,
+    "TIMEOUT": EndpointStatus.DRAINING,
 }
 
 
-class Broken(Exception):
+class XdsFileError(Exception):
     """A file that cannot be used, with the place that is wrong."""
 
 
@@ -43,7 +44,7 @@
 def pick(value: object, name: str, default: object = None) -> object:
     """Give a field of an object in either spelling."""
     if not isinstance(value, dict):
-        raise Broken(f"{name}: is not in an object")
+        raise XdsFileError(f"{name}: is not in an object")
     return value.get(name, value.get(camel(name), default))
 
 
@@ -61,14 +62,14 @@
     try:
         read = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise Broken(f"not JSON: {error}") from None
+        raise XdsFileError(f"not JSON: {error}") from None
     if isinstance(read, dict):
         read = read.get("resources", [read])
     if not isinstance(read, list) or not all(isinstance(each, dict) for each in read):
-        raise Broken("resources: must be a list of objects")
+        raise XdsFileError("resources: must be a list of objects")
     found = [each for each in read if str(each.get("@type", kind)).endswith(kind)]
     if len(found) < len(read):
-        raise Broken(f"@type: all must be {kind}")
+        raise XdsFileError(f"@type: all must be {kind}")
     return found
 
 
@@ -78,15 +79,15 @@
     for index, each in enumerate(resources(text, "Cluster")):
         name = pick(each, "name")
         if not isinstance(name, str) or not name:
-            raise Broken(f"resources.{index}.name: is missing")
+            raise XdsFileError(f"resources.{index}.name: is missing")
         service = dig(each, "eds_cluster_config", "service_name") or name
         clusters[service] = name, dig(each, "metadata", "filter_metadata", OURS) or {}
     return clusters
 
 
-def read_endpoints(text: bytes, clusters: dict[str, tuple[str, dict]]) -> dict[str, Listed]:
+def read_endpoints(text: bytes, clusters: dict[str, tuple[str, dict]]) -> dict[str, EndpointListReceived]:
     """Give each cluster's endpoints; a load assignment of no cluster is left out."""
-    listed = {name: Listed((), True) for name, _ in clusters.values()}
+    listed = {name: EndpointListReceived((), True) for name, _ in clusters.values()}
     for index, each in enumerate(resources(text, "ClusterLoadAssignment")):
         service = pick(each, "cluster_name")
         if service not in clusters:
@@ -99,8 +100,8 @@
                 found.append(read_endpoint(one, group, common, where))
         names = [endpoint.name for endpoint in found]
         if len(set(names)) < len(names):
-            raise Broken(f"resources.{index}: two endpoints share a name")
-        listed[name] = Listed(tuple(found), True)
+            raise XdsFileError(f"resources.{index}: two endpoints share a name")
+        listed[name] = EndpointListReceived(tuple(found), True)
     return listed
 
 
@@ -109,23 +110,23 @@
     socket = dig(one, "endpoint", "address", "socket_address")
     host, port = (pick(socket, "address"), pick(socket, "port_value")) if socket else (None, None)
     if not isinstance(host, str) or not isinstance(port, int) or not 0 < port < 65536:
-        raise Broken(f"{where}.endpoint.address.socket_address: address and port_value are needed")
+        raise XdsFileError(f"{where}.endpoint.address.socket_address: address and port_value are needed")
     health = pick(one, "health_status", "UNKNOWN")
     if health not in HEALTH:
-        raise Broken(f"{where}.health_status: {health!r} is not known")
+        raise XdsFileError(f"{where}.health_status: {health!r} is not known")
     own = {**common, **(dig(one, "metadata", "filter_metadata", OURS) or {})}
     if not isinstance(own.get("kind"), str):
-        raise Broken(f"{where}.metadata.filter_metadata.{OURS}.kind: is missing")
+        raise XdsFileError(f"{where}.metadata.filter_metadata.{OURS}.kind: is missing")
     zone, rack = (str(dig(group, "locality", part) or "") for part in ("zone", "sub_zone"))
     address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
     try:
         weight = float(pick(one, "load_balancing_weight", 1))
     except (TypeError, ValueError):
-        raise Broken(f"{where}: load_balancing_weight must be a number") from None
+        raise XdsFileError(f"{where}: load_balancing_weight must be a number") from None
     since = own.get("since_ms", 0)
     if isinstance(since, bool) or not isinstance(since, int | float):
-        raise Broken(f"{where}: since_ms must be a number")
-    started = read_start(since)
+        raise XdsFileError(f"{where}: since_ms must be a number")
+    started = parse_start_time(since)
     return Endpoint(
         str(own.get("name") or address),
         address,
@@ -141,21 +142,23 @@
 class Files:
     """Two files, looked at again and again; a broken one keeps the last good list."""
 
-    def __init__(self, clusters: Path, endpoints: Path, feed: Callable[[str, Listed], None]) -> None:
+    def __init__(
+        self, clusters: Path, endpoints: Path, feed: Callable[[str, EndpointListReceived], None]
+    ) -> None:
         self.paths, self.feed = (clusters, endpoints), feed
         self.seen: object = None
-        self.told: dict[str, Listed] = {}
+        self.told: dict[str, EndpointListReceived] = {}
         self.looked_at: float | None = None  # monotonic time of the last look at files that were whole
 
     def __str__(self) -> str:
         return ", ".join(path.name for path in self.paths)
 
-    def moved(self, config: Config) -> Files:
+    def moved(self, config: RouterConfig) -> Files:
         """Give the watch of a new configuration, once its files are found whole; it knows what was told."""
-        files = Files(*config.files, self.feed)
+        files = Files(*config.xds_files, self.feed)
         files.told, files.looked_at = self.told, self.looked_at
         if broken := files.look():
-            raise ConfigError(broken)
+            raise ConfigurationError(broken)
         return files
 
     def unheard(self) -> timedelta | None:
@@ -185,14 +188,14 @@
             clusters = read_clusters(path.read_bytes())
             path = self.paths[1]
             found = read_endpoints(path.read_bytes(), clusters)
-        except (OSError, Broken, TypeError, ValueError, AttributeError) as error:
+        except (OSError, XdsFileError, TypeError, ValueError, AttributeError) as error:
             # Guards against a file half written or wrong: an empty fleet would be worse than an old one.
-            log.say("xds_broken", file=path.name, error=str(error))
+            log.emit("xds_files_invalid", file=path.name, error=str(error))
             return f"{path.name}: {error}"
         for name in {*found, *self.told}:
-            listed = found.get(name, Listed((), True))
+            listed = found.get(name, EndpointListReceived((), True))
             if self.told.get(name) != listed:
-                self.feed(name, replace(listed, unheard=self.unheard()))
+                self.feed(name, replace(listed, since_last_answer=self.unheard()))
         self.told, self.looked_at = found, time.monotonic()
         return None
 
--- a/tests/test_fleet_cost.py
+++ b/tests/emulator/test_fleet_cost.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.fleet_cost import Core, Decisions
+from benchmarks.fleet_cost import Decisions, ReducerHarness
 
 ROUNDS = 20
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("cell", [6, 10_000], ids=["small cells", "one cell"])
-@pytest.mark.parametrize("layer", [Decisions, Core])
+@pytest.mark.parametrize("layer", [Decisions, ReducerHarness])
 def test_a_request_and_a_change_cost_as_much_with_sixteen_times_the_endpoints(layer, cell, monkeypatch):
     monkeypatch.setattr("benchmarks.fleet_cost.CELL", cell)
     usual, large = layer(100, routers=200), layer(1600, routers=200)
--- a/tests/test_held_fault_injection.py
+++ b/tests/emulator/test_kv_lease_fault_injection.py
@@ -5,8 +5,8 @@
 import random
 
 import pytest
-from held_oracle import deployment
-from standins import FACTS, SETTINGS, chat, run
+from kv_lease_oracle import deployment
+from stand_ins import FACTS, SETTINGS, chat_request, run
 
 MS = 1_000_000  # nanoseconds
 KINDS = {"r1": "prefill", "r2": "prefill", "w1": "decode", "w2": "decode", "w3": "decode"}
@@ -54,7 +54,7 @@
 async def ask(program, id, draw):
     """Ask for an answer, and leave before it has come or not."""
     reader, writer = await program.connect()
-    writer.write(chat(id, left=draw.choice([200, 800, 3000]), facts=FACTS))
+    writer.write(chat_request(id, left=draw.choice([200, 800, 3000]), facts=FACTS))
     leaves_after = draw.choice([0.01, 0.05, 0.2, 5])
     try:
         async with asyncio.timeout(leaves_after):
--- a/tests/test_held_on_sockets.py
+++ b/tests/emulator/test_kv_lease_on_sockets.py
@@ -5,8 +5,8 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from held_oracle import deployment
-from standins import FACTS, SETTINGS, LateListener, chat, entry, run
+from kv_lease_oracle import deployment
+from stand_ins import FACTS, SETTINGS, LateListener, chat_request, registry_entry, run
 
 MS = 1_000_000  # nanoseconds
 RELEASE_TIMES = [60 * MS, 400 * MS]  # shorter and longer than the one most tests of the suite use
@@ -26,7 +26,7 @@
 async def client(program, id="r1"):
     """Send a request; its connection is closed at the end of the block."""
     _, writer = await program.connect()
-    writer.write(chat(id, facts=FACTS))
+    writer.write(chat_request(id, facts=FACTS))
     yield writer
     writer.close()
 
@@ -177,9 +177,9 @@
     async def test():
         async with deployment(tmp_path, customer(release_within), ONE_OF_EACH) as (program, record, of):
             async with client_at_decode(program, record, of):
-                gone = [entry(each.name, each.address, each.kind, "Gone") for each in of.values()]
-                await program.discovery.tell(gone)
-                while (await program.line("endpoints"))["known"]:
+                gone = [registry_entry(each.name, each.address, each.kind, "Gone") for each in of.values()]
+                await program.discovery.publish(gone)
+                while (await program.wait_for_log("endpoint_list_updated"))["known"]:
                     pass
             assert await record.verdict() == []
 
@@ -197,10 +197,10 @@
             of["r1"].resets_reads = True
             of["r1"].finish.clear()
             late = LateListener()  # the only other prefill server, whose connections do not come up
-            draining = entry("r1", of["r1"].address, "prefill", "Terminating")
+            draining = registry_entry("r1", of["r1"].address, "prefill", "Terminating")
             async with client(program):
                 await until_called(record, of["r1"], "POST")
-                await program.discovery.tell([draining, entry("r2", late.address, "prefill")])
+                await program.discovery.publish([draining, registry_entry("r2", late.address, "prefill")])
                 await until_called(record, of["w1"], "DELETE")
                 of["r1"].finish.set()
                 await record.wait_until(lambda: record.of("r1").ever_held)
@@ -234,7 +234,7 @@
             async with client_at_decode(program, record, of):
                 refuse_all(of)
                 stopped = asyncio.ensure_future(program.stop())
-                await program.line("stopping")
+                await program.wait_for_log("stopping")
             await record.wait_until(lambda: record.of("r1").since is not None)
             await asyncio.sleep(0.1)
             await listen_again(of)
@@ -251,8 +251,11 @@
         slow_start = {"cold": 10_000 * MS, "cold_share": 0.3, "overload_factor": 2.5, "fall": 1000 * MS}
         settings["rules"] = {**settings["rules"], **slow_start}
         async with deployment(tmp_path, settings, ONE_OF_EACH) as (program, record, of):
-            started = {**entry("w1", of["w1"].address, "decode"), "since_ms": round(time.time() * 1000)}
-            await program.discovery.tell([program.entries[0], started])
+            started = {
+                **registry_entry("w1", of["w1"].address, "decode"),
+                "since_ms": round(time.time() * 1000),
+            }
+            await program.discovery.publish([program.entries[0], started])
             await program.discovery.wait_for("GET /registry/instances?since=2")
             async with client(program):
                 await until_called(record, of["r1"], "POST")
--- a/tests/test_oracle.py
+++ b/tests/emulator/test_oracle.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import pytest
-from standins import run
+from stand_ins import run
 
-from hoplane.emulator.failing_calls import FaultPlan
-from hoplane.emulator.oracle import Effect, Oracle, Rule, slow_start_budget
+from llm_router.emulator.failing_calls import FaultPlan
+from llm_router.emulator.oracle import Effect, Oracle, Rule, slow_start_budget
 
 RELEASE_WITHIN, DRAIN_GRACE = 0.05, 0.1
 
@@ -24,7 +24,7 @@
 @pytest.fixture
 def oracle(monkeypatch):
     clock = Clock()
-    monkeypatch.setattr("hoplane.emulator.oracle.asyncio.get_running_loop", lambda: clock)
+    monkeypatch.setattr("llm_router.emulator.oracle.asyncio.get_running_loop", lambda: clock)
     made = Oracle(RELEASE_WITHIN, DRAIN_GRACE)
     made.clock = clock
     made.asks("q", "n0", Effect.UNSAFE)
--- a/tests/test_equal.py
+++ b/tests/frontends/test_frontend_parity.py
@@ -3,7 +3,19 @@
 import asyncio
 
 import pytest
-from standins import DONE, EVENT, SETTINGS, STREAM, Server, chat, chunk, entry, message, platform, within
+from stand_ins import (
+    DONE,
+    EVENT,
+    SETTINGS,
+    STREAM,
+    StandInServer,
+    chat_request,
+    chunk,
+    message,
+    registry_entry,
+    running_router,
+    within,
+)
 from test_kserve import ANSWER, infer, sidecar
 
 MIXED = {**SETTINGS, "kinds": ["mixed"], "family_info": {"duty_by_kind": ["both"], "local_read": True}}
@@ -51,16 +63,22 @@
 @pytest.mark.parametrize("front", ["platform", "kserve"])
 def test_outcomes_are_equal(tmp_path, front, play, lookup, booking):
     async def test():
-        async with Server(play) as server:
+        async with StandInServer(play) as server:
             if front == "platform":
-                start = platform(tmp_path, [entry("m", server.address, "mixed")], settings=MIXED)
+                start = running_router(
+                    tmp_path, [registry_entry("m", server.address, "mixed")], settings=MIXED
+                )
             else:
                 start = sidecar(tmp_path, server)
             async with start as program:
                 for cls, code in (("booking", booking), ("lookup", lookup)):
                     before = len(server.calls)
-                    ask = chat("x", cls, 400) if front == "platform" else infer("x", cls, time_left_ms=400)
-                    first, headers, _ = await program.ask(ask)
+                    ask = (
+                        chat_request("x", cls, 400)
+                        if front == "platform"
+                        else infer("x", cls, time_left_ms=400)
+                    )
+                    first, headers, _ = await program.exchange(ask)
                     assert int(first.split()[1]) == code
                     assert ("retry-after" in headers) == (code == 503), "a refusal says when to return"
                     if cls == "booking" and play is not turn_away:
