--- a/tests/test_kserve.py
+++ b/tests/frontends/test_kserve.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 
 import pytest
-from standins import Server, free_port, message, started, within
+from stand_ins import StandInServer, free_port, message, started_process, within
 
 ANSWER = b'{"model_name":"desk","outputs":[{"name":"text","shape":[1],"datatype":"BYTES","data":["ok"]}]}'
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 async def serve(call, writer):
@@ -75,7 +75,7 @@
     (tmp_path / "xds/clusters.json").write_text((ROOT / "deploy/xds/clusters.json").read_text())
     file = tmp_path / "xds/endpoints.json"
     file.write_text(assignment(*[(server.address, "HEALTHY") for server in servers]))
-    async with started(str(tmp_path / "kserve.toml"), address=address) as program:
+    async with started_process(str(tmp_path / "kserve.toml"), address=address) as program:
         program.endpoints, program.file = file, tmp_path / "kserve.toml"
         yield program
 
@@ -99,7 +99,7 @@
 
 
 async def status(program, data):
-    first, headers, body = await program.ask(data)
+    first, headers, body = await program.exchange(data)
     code = int(first.split()[1])
     assert code < 400 or code in (413,) or json.loads(body)["error"]
     if code == 503:
@@ -109,9 +109,9 @@
 
 def test_an_inference_passes_both_ways_unchanged(tmp_path):
     async def test():
-        async with Server(serve) as server, sidecar(tmp_path, server) as program:
+        async with StandInServer(serve) as server, sidecar(tmp_path, server) as program:
             data = infer(time_left_ms=3000, prompt_len=900)
-            first, headers, body = await program.ask(data)
+            first, headers, body = await program.exchange(data)
             assert first.split()[1] == "200" and body == ANSWER
             ((line, _, sent),) = server.calls
             assert line.startswith("POST /v2/models/desk/infer") and sent == data.partition(b"\r\n\r\n")[2]
@@ -122,16 +122,16 @@
 
 def test_the_health_and_model_calls(tmp_path):
     async def test():
-        async with Server(serve) as server, sidecar(tmp_path, server) as program:
-            assert json.loads((await program.ask(get("/v2")))[2])["name"] == "hoplane"
+        async with StandInServer(serve) as server, sidecar(tmp_path, server) as program:
+            assert json.loads((await program.exchange(get("/v2")))[2])["name"] == "hoplane"
             for path in ("/v2/health/live", "/v2/health/ready", "/v2/models/desk/ready", "/v2/models/desk"):
                 assert await status(program, get(path)) == 200
             assert await status(program, get("/v2/models/other/ready")) == 404
             assert await status(program, get("/elsewhere")) == 404
             assert await status(program, infer(model="other")) == 404
             program.endpoints.write_text(assignment((server.address, "DRAINING")))
-            await program.line("endpoints")
-            first, _, _ = await program.ask(get("/v2/models/desk/ready"))
+            await program.wait_for_log("endpoint_list_updated")
+            first, _, _ = await program.exchange(get("/v2/models/desk/ready"))
             assert first.split()[1] == "503"
 
     run(test())
@@ -149,7 +149,7 @@
 )
 def test_what_is_malformed_reaches_no_endpoint(tmp_path, data):
     async def test():
-        async with Server(serve) as server, sidecar(tmp_path, server) as program:
+        async with StandInServer(serve) as server, sidecar(tmp_path, server) as program:
             assert await status(program, data) == 400
             assert not server.calls
 
@@ -159,13 +159,13 @@
 @pytest.mark.parametrize("breaks", [close_mid_answer, close_mid_answer_untold])
 def test_a_server_that_closes_mid_answer(tmp_path, breaks):
     async def test():
-        async with Server(breaks) as bad, sidecar(tmp_path, bad) as program:
+        async with StandInServer(breaks) as bad, sidecar(tmp_path, bad) as program:
             assert await status(program, infer(id="b1")) == 502
             assert await status(program, infer(id="b1")) == 409, "it may have run"
             assert len(bad.calls) == 1
-            async with Server(serve) as good:
+            async with StandInServer(serve) as good:
                 program.endpoints.write_text(assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY")))
-                await program.line("endpoints")
+                await program.wait_for_log("endpoint_list_updated")
                 for number in range(8):
                     assert await status(program, infer(id=f"l{number}", cls="lookup")) == 200
 
@@ -180,7 +180,7 @@
         await serve(call, writer)
 
     async def test():
-        async with Server(wait) as server, sidecar(tmp_path, server) as program:
+        async with StandInServer(wait) as server, sidecar(tmp_path, server) as program:
             first = asyncio.ensure_future(status(program, infer(id="b1")))
             await server.wait_for("POST")
             assert await status(program, infer(id="b1")) == 409, "it is running"
@@ -197,7 +197,7 @@
 
 def test_a_booking_that_never_ran_may_come_again(tmp_path):
     async def test():
-        async with Server(turn_away) as server, sidecar(tmp_path, server) as program:
+        async with StandInServer(turn_away) as server, sidecar(tmp_path, server) as program:
             assert await status(program, infer(id="b1", time_left_ms=300)) == 503
             server.play = serve
             assert await status(program, infer(id="b1")) in (200, 503)
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize(("cls", "code", "again"), [("lookup", 503, 503), ("booking", 502, 409)])
 def test_the_deadline_ends_the_attempt(tmp_path, cls, code, again):
     async def test():
-        async with Server(hang) as server, sidecar(tmp_path, server) as program:
+        async with StandInServer(hang) as server, sidecar(tmp_path, server) as program:
             assert await status(program, infer(cls=cls, time_left_ms=200)) == code
             assert (await within(server.closed.get()))[0].startswith("POST")
             assert await status(program, infer(cls=cls, time_left_ms=200)) == again
@@ -221,7 +221,7 @@
 
 def test_a_client_that_leaves_ends_its_attempt(tmp_path):
     async def test():
-        async with Server(hang) as server, sidecar(tmp_path, server) as program:
+        async with StandInServer(hang) as server, sidecar(tmp_path, server) as program:
             _, writer = await program.connect()
             writer.write(infer())
             await server.wait_for("POST")
@@ -234,13 +234,17 @@
 
 def test_drains_and_broken_files(tmp_path):
     async def test():
-        async with Server(serve) as old, Server(serve) as new, sidecar(tmp_path, old) as program:
+        async with (
+            StandInServer(serve) as old,
+            StandInServer(serve) as new,
+            sidecar(tmp_path, old) as program,
+        ):
             program.endpoints.write_text('{"resources": [')
-            assert "endpoints.json" in (await program.line("xds_broken"))["file"]
+            assert "endpoints.json" in (await program.wait_for_log("xds_files_invalid"))["file"]
             assert await status(program, infer(id="b1")) == 200, "the last good list stays"
             program.endpoints.write_text(assignment((old.address, "DRAINING"), (new.address, "HEALTHY")))
             before = asyncio.get_running_loop().time()
-            await program.line("endpoints")
+            await program.wait_for_log("endpoint_list_updated")
             assert asyncio.get_running_loop().time() - before < 1
             for number in range(5):
                 assert await status(program, infer(id=f"c{number}")) == 200
@@ -251,16 +255,20 @@
 
 def test_a_reload_moves_to_other_files_and_a_broken_one_changes_nothing(tmp_path):
     async def test():
-        async with Server(serve) as old, Server(serve) as new, sidecar(tmp_path, old) as program:
+        async with (
+            StandInServer(serve) as old,
+            StandInServer(serve) as new,
+            sidecar(tmp_path, old) as program,
+        ):
             text = program.file.read_text()
             other = tmp_path / "xds/other.json"
             other.write_text("{")
             program.reload(text.replace("endpoints.json", "other.json"))
-            assert "other.json" in (await program.line("reload_failed"))["error"]
+            assert "other.json" in (await program.wait_for_log("configuration_reload_failed"))["error"]
             assert await status(program, infer(id="b1")) == 200
             other.write_text(assignment((new.address, "HEALTHY")))
             program.reload(text.replace("endpoints.json", "other.json"))
-            assert "other.json" in (await program.line("reloaded"))["watch"]
+            assert "other.json" in (await program.wait_for_log("configuration_reloaded"))["watch"]
             assert await status(program, infer(id="b1")) == 409, "the ledger goes on"
             assert await status(program, infer(id="b2")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 1
--- a/tests/test_held_property.py
+++ b/tests/lifecycle/test_kv_lease_property.py
@@ -2,12 +2,12 @@
 
 from datetime import timedelta
 
-from held_model import Behaviour, Model
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from kv_lease_model import Behaviour, Model
 
-from hoplane.core import events as ev
-from hoplane.decision import interface as api
+from llm_router.lifecycle import events
+from llm_router.routing.settings import ClassSettings, Idempotency, KindSettings, Role, Settings
 
 MS = 1_000_000
 DAY_END = 30_000  # milliseconds: all of a request is over by then
@@ -42,20 +42,24 @@
 def customers(draw):
     """Give the settings of some customer."""
     within, deadline = draw(release_times), draw(deadlines)
-    cls = api.ClassSettings(
-        "c", deadline * MS // 2, deadline * MS, draw(st.sampled_from(api.Effect)), window=200 * MS
+    cls = ClassSettings(
+        "c",
+        deadline * MS // 2,
+        deadline * MS,
+        draw(st.sampled_from(Idempotency)),
+        deduplication_window=200 * MS,
     )
-    return api.Settings(
-        kinds=(api.KindSettings("prefill", api.Role.READ), api.KindSettings("decode", api.Role.WRITE)),
+    return Settings(
+        kinds=(KindSettings("prefill", Role.PREFILL), KindSettings("decode", Role.DECODE)),
         classes=(cls,),
-        cancel=draw(st.booleans()),
-        ahead=draw(st.booleans()),
-        tick=2 * MS,
+        may_cancel=draw(st.booleans()),
+        reservations=draw(st.booleans()),
+        timer_resolution=2 * MS,
         zone="a",
         max_attempts=draw(st.sampled_from([1, 2, 4])),
         retry_after=True,
         max_retry_after=1000 * MS,
-        release_within=None if within is None else within * MS,
+        release_timeout=None if within is None else within * MS,
     )
 
 
@@ -75,9 +79,9 @@
 def test_nothing_stays_held_longer_than_told(customer, fleet, leaves_at, seed):
     model = Model(customer, fleet, seed)
     patience = timedelta(microseconds=customer.classes[0].deadline // 1000)
-    model.feed(ev.Asked("q", "c", 2000, 100, patience, session="s"))
+    model.feed(events.RequestReceived("q", "c", 2000, 100, patience, session="s"))
     if leaves_at is not None:
-        model.after(leaves_at, lambda: model.feed(ev.Left("q")))
+        model.after(leaves_at, lambda: model.feed(events.ClientDisconnected("q")))
     model.run(DAY_END)
     assert model.breaks == []
     assert not model.state.requests and not model.held["q"].items
--- a/tests/test_start_times.py
+++ b/tests/lifecycle/test_start_times.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from hoplane.core.start_times import LONG_AGO, StartTimes
+from llm_router.lifecycle.start_times import LONG_AGO, StartTimes
 
 
 def seconds(value):
--- a/tests/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -3,11 +3,12 @@
 import random
 
 import pytest
-from conftest import MS, Desk, S, entry
+from policy_harness import MS, PolicyHarness, S, entry
 
-from hoplane.decision import interface as api
-from hoplane.decision import rules
-from hoplane.decision.ring import Ring, jump_hash, mix
+from llm_router.routing import events, policy
+from llm_router.routing.events import AttemptStatus, EndpointStatus
+from llm_router.routing.hash_ring import Ring, jump_hash, mix
+from llm_router.routing.settings import Role
 
 CELL = 6
 SIZES = [20, 100, 400, 1600]
@@ -28,8 +29,8 @@
 def ring_order_by_the_plain_rule(router, key):
     """Sort every point of every reader, and give each reader once from the key's place."""
     points = sorted(
-        (mix(f"{server.entry.server} {n}"), server.entry.server)
-        for server in router.live(rules.READERS)
+        (mix(f"{server.entry.endpoint_id} {n}"), server.entry.endpoint_id)
+        for server in router.live(policy.READERS)
         for n in range(router.points(server))
     )
     start = mix(key)
@@ -39,87 +40,89 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_prefills_go_to_the_reader_that_a_ring_of_all_would_give(size, seed):
-    desk, draw = Desk(fleet_of(size), seed=seed, routers=200), random.Random(seed)
+    harness, draw = PolicyHarness(fleet_of(size), seed=seed, router_count=200), random.Random(seed)
     for number in range(30):
         prefix = f"p{draw.randrange(1000)}"
-        order = ring_order_by_the_plain_rule(desk.router, prefix)
-        desk.ask(f"r{number}", prefix=prefix, after=S)
-        assert desk.sent()[0] == order[0]
-        desk.leave(f"r{number}")
+        order = ring_order_by_the_plain_rule(harness.router, prefix)
+        harness.submit(f"r{number}", prefix=prefix, after=S)
+        assert harness.attempted_endpoints()[0] == order[0]
+        harness.disconnect(f"r{number}")
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_ring_that_was_changed_in_place_is_as_one_built_anew(size, seed):
-    desk, draw = Desk(fleet_of(size), seed=seed), random.Random(seed)
+    harness, draw = PolicyHarness(fleet_of(size), seed=seed), random.Random(seed)
     for number in range(40):
-        state = draw.choice([api.State.LIVE, api.State.DRAINING, api.State.GONE])
+        state = draw.choice([EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED])
         old = draw.randrange(size)
-        told = api.Entry(old, fleet_of(1, old)[0].kind, "z", old // CELL, state)
+        told = events.EndpointEntry(old, fleet_of(1, old)[0].kind, "z", old // CELL, state)
         new = fleet_of(1, size + number)
-        desk.do(api.Fleet((told, *(new if draw.random() < 0.5 else ())), whole=False), after=S)
-    router, anew = desk.router, Ring()
-    for server in router.live(rules.READERS):
+        harness.handle(
+            events.EndpointListUpdate((told, *(new if draw.random() < 0.5 else ())), is_full=False), after=S
+        )
+    router, anew = harness.router, Ring()
+    for server in router.live(policy.READERS):
         anew.set_points(server, router.points(server))
     assert list(router.ring.places) == list(anew.places)
-    assert len(router.servers) <= size + 40 and not router.servers.recent[api.Role.READ]
+    assert len(router.servers) <= size + 40 and not router.servers.recent[Role.PREFILL]
 
 
 def test_the_best_of_all_writers_is_chosen_in_a_small_fleet_and_of_its_part_in_a_large_one(size):
     """In a large fleet a better writer may exist outside the subset; in the read's own cell it may not."""
-    desk = Desk(fleet_of(size, kinds=("reader", "writer")), routers=200, ahead=False)
-    router = desk.router
+    harness = PolicyHarness(fleet_of(size, kinds=("reader", "writer")), router_count=200, reservations=False)
+    router = harness.router
     draw = random.Random(5)
-    for server in router.live(rules.WRITERS):
+    for server in router.live(policy.WRITERS):
         server.held = draw.randrange(100_000)
     for number in range(20):
-        desk.ask(f"r{number}", after=S)
-        desk.outcome(api.Status.MISS, desk.sent()[0], f"r{number}")
-        job, chosen = router.jobs[f"r{number}"], router.servers[desk.sent()[0]]
-        everywhere = size <= rules.CANDIDATES
-        seen = router.live(rules.WRITERS) if everywhere else router.writers_near(job)
-        assert len(seen) <= rules.CANDIDATES + CELL
+        harness.submit(f"r{number}", after=S)
+        harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], f"r{number}")
+        job, chosen = router.jobs[f"r{number}"], router.servers[harness.attempted_endpoints()[0]]
+        everywhere = size <= policy.CANDIDATES
+        seen = router.live(policy.WRITERS) if everywhere else router.writers_near(job)
+        assert len(seen) <= policy.CANDIDATES + CELL
         chosen.held -= 2200  # as it was before this request
         best = min(seen, key=lambda server: router.cost(job, server))
         assert router.cost(job, chosen) <= router.cost(job, best) + 1e-9
         near = router.servers.by_cell[job.near.entry.cell]
-        assert {s for s in near if s.role in rules.WRITERS} <= set(seen)
+        assert {s for s in near if s.role in policy.WRITERS} <= set(seen)
         chosen.held += 2200
-        desk.leave(f"r{number}")
+        harness.disconnect(f"r{number}")
 
 
 def test_a_router_of_many_keeps_to_its_own_part_of_a_large_fleets_writers():
-    routers = [Desk(fleet_of(1600), routers=200, position=n).router for n in range(200)]
+    routers = [PolicyHarness(fleet_of(1600), router_count=200, router_index=n).router for n in range(200)]
     subsets = [router.writer_subset() for router in routers]
-    assert all(len(subset) == rules.CANDIDATES for subset in subsets)
-    numbers = [{server.entry.server for server in subset} for subset in subsets]
+    assert all(len(subset) == policy.CANDIDATES for subset in subsets)
+    numbers = [{server.entry.endpoint_id for server in subset} for subset in subsets]
     used = set().union(*numbers)
-    writers = routers[0].servers.count(*rules.WRITERS)
+    writers = routers[0].servers.count(*policy.WRITERS)
     assert len(used) > 0.97 * writers, "all writers are somebody's"
     assert numbers[0] != numbers[100]
 
 
 def test_few_routers_use_all_writers_of_a_large_fleet():
-    desk, used = Desk(fleet_of(1600), routers=2, ahead=False), set()
+    harness, used = PolicyHarness(fleet_of(1600), router_count=2, reservations=False), set()
     for number in range(400):
-        desk.ask(f"r{number}", after=100 * MS)
-        desk.outcome(api.Status.MISS, desk.sent()[0], f"r{number}")
-        used.update(desk.sent())
-        desk.leave(f"r{number}")
+        harness.submit(f"r{number}", after=100 * MS)
+        harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], f"r{number}")
+        used.update(harness.attempted_endpoints())
+        harness.disconnect(f"r{number}")
     assert len(used) > 250
 
 
 def test_others_stand_in_when_none_of_the_part_takes_work():
-    desk = Desk(fleet_of(1600), routers=200, ahead=False)
-    for server in desk.router.writer_subset():
-        server.ejected_until, server.ejections = desk.now + 8 * S, 1
-    desk.ask()
-    desk.outcome(api.Status.MISS, desk.sent()[0])
-    assert len(desk.sent()) == 1
+    harness = PolicyHarness(fleet_of(1600), router_count=200, reservations=False)
+    for server in harness.router.writer_subset():
+        server.ejected_until, server.ejections = harness.now + 8 * S, 1
+    harness.submit()
+    harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
+    assert len(harness.attempted_endpoints()) == 1
 
 
 def count_visits(size, monkeypatch):
     """Give how many looks at a server a request takes, and a change of the list."""
-    desk, visits = Desk(fleet_of(size), routers=200), [0]
+    harness, visits = PolicyHarness(fleet_of(size), router_count=200), [0]
 
     def counted(genuine):
         def call(*arguments):
@@ -129,14 +132,14 @@
         return call
 
     for name in ("takes", "delay", "cost", "points"):
-        monkeypatch.setattr(rules.Router, name, counted(getattr(rules.Router, name)))
+        monkeypatch.setattr(policy.RoutingPolicy, name, counted(getattr(policy.RoutingPolicy, name)))
     for number in range(20):
-        desk.ask(f"r{number}", prefix=f"p{number}", after=100 * MS)
-        desk.outcome(api.Status.MISS, desk.sent()[0], f"r{number}")
-        desk.first(desk.sent()[0], f"r{number}")
+        harness.submit(f"r{number}", prefix=f"p{number}", after=100 * MS)
+        harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], f"r{number}")
+        harness.first_token(harness.attempted_endpoints()[0], f"r{number}")
     request, visits[0] = visits[0], 0
     for number in range(20):
-        desk.do(api.Fleet(fleet_of(1, size + number), whole=False))
+        harness.handle(events.EndpointListUpdate(fleet_of(1, size + number), is_full=False))
     monkeypatch.undo()
     return request, visits[0]
 
--- a/tests/test_adapter.py
+++ b/tests/simulator/test_simulator_codecs.py
@@ -6,8 +6,14 @@
 
 import pytest
 
-from hoplane import adapter
-from hoplane.decision import interface as api
+from llm_router.field_codec import split_fields
+from llm_router.routing import actions, events
+from llm_router.routing.events import AttemptStatus, LoadReport
+from llm_router.routing.settings import ClassSettings, Idempotency
+from llm_router.settings_codec import read_settings
+from llm_router.simulator.action_codec import write_action
+from llm_router.simulator.event_codec import EVENTS
+from llm_router.simulator.host import Host, Lines
 
 CONF = (
     "allowed.attempts_cap=5 allowed.cancel=true balancers=2 family_info.duty_by_kind=read,write "
@@ -35,7 +41,7 @@
 
 def play(*batches):
     out = io.StringIO()
-    adapter.Host().run(adapter.Lines(io.StringIO("".join(batches))), out)
+    Host().run(Lines(io.StringIO("".join(batches))), out)
     return out.getvalue()
 
 
@@ -66,71 +72,78 @@
 
 
 def test_a_restart_within_a_batch_forgets_everything():
-    host = adapter.Host()
+    host = Host()
     text = batch(START + ASK + "destroy router_id=router-1\n" + START)
-    host.run(adapter.Lines(io.StringIO(text)), io.StringIO())
+    host.run(Lines(io.StringIO(text)), io.StringIO())
     assert host.routers["router-1"].jobs == {} and len(host.routers["router-1"].servers) == 2
 
 
 def test_settings_keep_the_interfaces_values_where_absent():
-    settings = adapter.read_settings(adapter.split_fields(CONF.split()))
+    settings = read_settings(split_fields(CONF.split()))
     assert settings.classes == (
-        api.ClassSettings(
+        ClassSettings(
             "chat",
-            aim=10**9,
+            latency_objective=10**9,
             deadline=4 * 10**9,
-            effect=api.Effect.SAFE,
-            worth=2.0,
-            window=5 * 10**9,
-            aim_per_1000=40_000_000,
-            token_aim=60_000_000,
+            idempotency=Idempotency.SAFE,
+            priority_weight=2.0,
+            deduplication_window=5 * 10**9,
+            objective_per_1000_tokens=40_000_000,
+            token_interval=60_000_000,
         ),
     )
-    assert [kind.memory for kind in settings.kinds] == [190000, 150000]
-    assert settings.cold == 14 * 10**9 and settings.ahead is False and settings.max_retry_after is None
+    assert [kind.memory_tokens for kind in settings.kinds] == [190000, 150000]
+    assert (
+        settings.slow_start_window == 14 * 10**9
+        and settings.reservations is False
+        and settings.max_retry_after is None
+    )
 
 
 @pytest.mark.parametrize(
     ("line", "event"),
     [
-        ("bell handle=77", api.Timer(77)),
-        ("timed_out_client req=a", api.Gone("a")),
-        ("headers req=a attempt=1 engine=8 wait_time=5", api.FirstToken("a", 1, 8, 5)),
-        ("hold_result req=a attempt=0 engine=8 topic=2 value=0", api.Place("a", 0, 8, False)),
-        ("probed ending=done engine=8 wait_time=5 gauge=x0:1", api.Probed(8, api.Status.OK, 5, {"x0": 1.0})),
-        ("note_from origin_peer=2 msg=aGkgNw==", api.PeerMessage(2, b"hi 7")),
-        ("note_from origin_peer=2 msg=-", api.PeerMessage(2, b"")),
+        ("bell handle=77", events.TimerFired(77)),
+        ("timed_out_client req=a", events.ClientDisconnected("a")),
+        ("headers req=a attempt=1 engine=8 wait_time=5", events.FirstToken("a", 1, 8, 5)),
+        ("hold_result req=a attempt=0 engine=8 topic=2 value=0", events.ReservationResult("a", 0, 8, False)),
+        (
+            "probed ending=done engine=8 wait_time=5 gauge=x0:1",
+            events.LoadProbeEnded(8, AttemptStatus.OK, 5, LoadReport(memory_share=1.0)),
+        ),
+        ("note_from origin_peer=2 msg=aGkgNw==", events.GossipReceived(2, b"hi 7")),
+        ("note_from origin_peer=2 msg=-", events.GossipReceived(2, b"")),
         (
             "report_back req=a ending=busy info=1 wait_time=5 engine=8 attempt=2",
-            api.Outcome("a", 2, 8, api.Status.FULL, 5, False, 1),
+            events.AttemptEnded("a", 2, 8, AttemptStatus.OVERLOADED, 5, False, state_missing=True),
         ),
     ],
 )
 def test_each_event_is_translated(line, event):
     name, *fields = line.split()
-    assert adapter.EVENTS[name](adapter.split_fields(fields)) == event
+    assert EVENTS[name](split_fields(fields)) == event
 
 
 @pytest.mark.parametrize(
     ("action", "line"),
     [
-        (api.Send("a", 7, 80), "pass_on router_id=r req=a within=80 engine=7"),
-        (api.Hold("a", 7), "hold_place router_id=r req=a engine=7"),
-        (api.Release("a"), "unpin router_id=r req=a"),
-        (api.Cancel("a", 1), "undo_send router_id=r req=a attempt=1"),
-        (api.Refuse("a", 5), "shed router_id=r req=a pause=5"),
-        (api.Fail("a"), "drop_request router_id=r req=a"),
-        (api.Move("a"), "reassign router_id=r req=a"),
-        (api.SetTimer(9, 1), "wake_me router_id=r fire_at=9 handle=1"),
-        (api.Probe(7), "ping router_id=r engine=7"),
-        (api.Tell(None, b"hi 7"), "broadcast_to router_id=r dest=-1 msg=aGkgNw=="),
-        (api.Tell(2, b""), "broadcast_to router_id=r dest=2 msg=-"),
-        (api.Watch(), "observe router_id=r want=1"),
-        (api.Log("two\nlines"), "remark router_id=r line=two lines"),
+        (actions.StartAttempt("a", 7, 80), "pass_on router_id=r req=a within=80 engine=7"),
+        (actions.Reserve("a", 7), "hold_place router_id=r req=a engine=7"),
+        (actions.Release("a"), "unpin router_id=r req=a"),
+        (actions.CancelAttempt("a", 1), "undo_send router_id=r req=a attempt=1"),
+        (actions.RejectRequest("a", 5), "shed router_id=r req=a pause=5"),
+        (actions.FailRequest("a"), "drop_request router_id=r req=a"),
+        (actions.MigrateStream("a"), "reassign router_id=r req=a"),
+        (actions.SetTimer(9, 1), "wake_me router_id=r fire_at=9 handle=1"),
+        (actions.ProbeLoad(7), "ping router_id=r engine=7"),
+        (actions.SendGossip(None, b"hi 7"), "broadcast_to router_id=r dest=-1 msg=aGkgNw=="),
+        (actions.SendGossip(2, b""), "broadcast_to router_id=r dest=2 msg=-"),
+        (actions.WatchEndpoints(), "observe router_id=r want=1"),
+        (actions.LogLine("two\nlines"), "remark router_id=r line=two lines"),
     ],
 )
 def test_each_action_is_written(action, line):
-    assert adapter.write_action("r", action) == line
+    assert write_action("r", action) == line
 
 
 @pytest.mark.parametrize(
@@ -151,7 +164,7 @@
     ],
 )
 def test_what_is_malformed_is_told_plainly(text, line, word):
-    command = [sys.executable, "-m", "hoplane.adapter"]
+    command = [sys.executable, "-m", "llm_router.simulator"]
     run = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
     assert run.returncode != 0 and run.stdout == ""
     assert len(run.stderr.splitlines()) == 1 and f"line {line}:" in run.stderr and word in run.stderr
--- a/tests/held_model.py
+++ b/tests/support/kv_lease_model.py
@@ -12,13 +12,15 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from hoplane.core import events as ev
-from hoplane.core.ledger import Ledger
-from hoplane.core.reducer import reduce
-from hoplane.core.state import Conductor
-from hoplane.decision import interface as api
-from hoplane.decision.interface import State, Status
-from hoplane.decision.rules import Router
+from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.endpoint import Endpoint
+from llm_router.lifecycle.events import ReservationOutcome
+from llm_router.lifecycle.idempotency_registry import IdempotencyRegistry
+from llm_router.lifecycle.reducer import reduce
+from llm_router.lifecycle.state import RouterState
+from llm_router.routing.events import AttemptStatus, EndpointStatus
+from llm_router.routing.policy import RoutingPolicy
+from llm_router.routing.settings import Settings
 
 SLACK = 300  # that state may be held beyond the release time
 UNKNOWN_AFTER = 300  # a reservation is answered so late where no read is out
@@ -64,13 +66,23 @@
 class Model:
     """The reducer with all that is around it."""
 
-    def __init__(
-        self, settings: api.Settings, behaviours: dict[tuple[str, str], Behaviour], seed: int
-    ) -> None:
-        self.state = Conductor(settings, Router(settings, seed), Ledger(9, timedelta(minutes=10)))
+    def __init__(self, settings: Settings, behaviours: dict[tuple[str, str], Behaviour], seed: int) -> None:
+        self.handlers: dict[type, Callable] = {
+            effects.SendRejection: self.on_rejection,
+            effects.SendFailure: self.on_rejection,
+            effects.ScheduleTimer: self.on_schedule_timer,
+            effects.OpenAttempt: self.on_open_attempt,
+            effects.AbortAttempt: self.on_abort_attempt,
+            effects.Reserve: self.on_reserve,
+            effects.Release: self.on_release,
+            effects.CancelReleases: self.on_cancel_releases,
+        }
+        self.state = RouterState(
+            settings, RoutingPolicy(settings, seed), IdempotencyRegistry(9, timedelta(minutes=10))
+        )
         self.now, self.queue, self.count = START, [], itertools.count()
         self.behaviours = {name: behaviour for (name, _), behaviour in behaviours.items()}
-        within = settings.release_within
+        within = settings.release_timeout
         self.limit = None if within is None else within // 1_000_000 + SLACK
         self.held: defaultdict[str, Held] = defaultdict(Held)
         self.breaks: list[str] = []
@@ -79,9 +91,10 @@
         self.releases: dict[str, set[int]] = {}  # release calls that the reducer awaits
         zones = itertools.cycle("ab")
         entries = [
-            ev.Endpoint(name, f"{name}:1", next(zones), kind, 0, State.LIVE) for name, kind in behaviours
+            Endpoint(name, f"{name}:1", next(zones), kind, 0, EndpointStatus.READY)
+            for name, kind in behaviours
         ]
-        self.feed(ev.Listed(tuple(entries), True))
+        self.feed(events.EndpointListReceived(tuple(entries), True))
 
     # --- clock
 
@@ -99,73 +112,71 @@
 
     # --- the reducer's side
 
-    def feed(self, event: ev.Event) -> None:
+    def feed(self, event: events.Event) -> None:
         now = timedelta(milliseconds=self.now)
         for effect in reduce(self.state, now, event):
-            if handler := getattr(self, f"do_{type(effect).__name__.lower()}", None):
+            if handler := self.handlers.get(type(effect)):
                 handler(effect)
 
-    def do_refuse(self, effect: ev.Refuse) -> None:
-        self.answers.append(effect.id)
-
-    do_fail = do_refuse
+    def on_rejection(self, effect: effects.SendRejection) -> None:
+        self.answers.append(effect.request_id)
 
-    def do_wake(self, effect: ev.Wake) -> None:
+    def on_schedule_timer(self, effect: effects.ScheduleTimer) -> None:
         at = -(-effect.at // timedelta(milliseconds=1))
-        self.after(max(0, at - self.now), lambda: self.feed(ev.Due(effect.timer)))
+        self.after(max(0, at - self.now), lambda: self.feed(events.TimerFired(effect.timer)))
 
-    def do_forward(self, effect: ev.Forward) -> None:
-        key, how = (effect.id, effect.attempt), self.behaviours[effect.endpoint.name]
+    def on_open_attempt(self, effect: effects.OpenAttempt) -> None:
+        key, how = (effect.request_id, effect.attempt), self.behaviours[effect.endpoint.name]
         self.out[key] = None
         if how.connects:
-            waits = RELEASE_FIRST if effect.release_first else 0
+            waits = RELEASE_FIRST if effect.awaits_release else 0
             self.after(how.delay + waits, lambda: self.send(effect, how))
             return
         within = CONNECT_TIMEOUT
-        if effect.connect_within is not None:
-            within = min(within, effect.connect_within // timedelta(milliseconds=1))
-        self.after(within, lambda: self.end(key, Status.CONNECT_FAILED))
+        if effect.connect_timeout is not None:
+            within = min(within, effect.connect_timeout // timedelta(milliseconds=1))
+        self.after(within, lambda: self.end(key, AttemptStatus.CONNECT_FAILED))
 
-    def send(self, effect: ev.Forward, how: Behaviour) -> None:
+    def send(self, effect: effects.OpenAttempt, how: Behaviour) -> None:
         """Write an attempt's request: its connection is up."""
-        key = effect.id, effect.attempt
+        key = effect.request_id, effect.attempt
         if key not in self.out:
             return
-        work = self.out[key] = Work(effect.id)
-        self.feed(ev.Sent(*key))
+        work = self.out[key] = Work(effect.request_id)
+        self.feed(events.AttemptWritten(*key))
         if how.cut_off:
             work.over = True  # at the endpoint it never began
-            self.after(ACKNOWLEDGED_BY, lambda: self.feed(ev.Unacknowledged(*key)))
+            self.after(ACKNOWLEDGED_BY, lambda: self.feed(events.AttemptUnacknowledged(*key)))
             return
-        arrive = self.read if effect.reads else self.decode
+        arrive = self.read if effect.is_prefill else self.decode
         self.after(how.delay, lambda: arrive(key, work, effect.endpoint.name, how))
 
-    def do_abandon(self, effect: ev.Abandon) -> None:
-        key = effect.id, effect.attempt
+    def on_abort_attempt(self, effect: effects.AbortAttempt) -> None:
+        key = effect.request_id, effect.attempt
         if key not in self.out:
             return
         work = self.out[key]
-        name = self.state.requests[effect.id].attempts[effect.attempt].endpoint.name
+        name = self.state.requests[effect.request_id].attempts[effect.attempt].endpoint.name
         if work is not None:
             self.after(self.behaviours[name].delay, lambda: self.close(work, reads=name.startswith("r")))
-        self.after(0, lambda: self.end(key, Status.CANCELLED))
+        self.after(0, lambda: self.end(key, AttemptStatus.CANCELLED))
 
-    def end(self, key: tuple[str, int], status: Status) -> None:
+    def end(self, key: tuple[str, int], status: AttemptStatus) -> None:
         """Tell the reducer of an attempt's end, unless it has one already."""
         if key in self.out:
             del self.out[key]
-            self.feed(ev.Ended(*key, status))
+            self.feed(events.AttemptEnded(*key, status))
 
-    def do_reserve(self, effect: ev.Reserve) -> None:
-        key, how = (effect.id, effect.attempt), self.behaviours[effect.endpoint.name]
+    def on_reserve(self, effect: effects.Reserve) -> None:
+        key, how = (effect.request_id, effect.attempt), self.behaviours[effect.endpoint.name]
         if not how.connects:
-            self.after(0, lambda: self.feed(ev.ReservationEnded(*key, ev.Reservation.NOT_HELD)))
+            self.after(0, lambda: self.feed(events.ReservationEnded(*key, ReservationOutcome.REJECTED)))
             return
         self.after(2, lambda: self.write_reservation(key, effect.endpoint.name, how))
 
     def write_reservation(self, key: tuple[str, int], name: str, how: Behaviour) -> None:
         if key not in self.out:  # it is not written once the read is over
-            self.feed(ev.ReservationEnded(*key, ev.Reservation.NOT_HELD))
+            self.feed(events.ReservationEnded(*key, ReservationOutcome.REJECTED))
             return
         if self.out[key] is None:  # nor before the read is
             self.after(2, lambda: self.write_reservation(key, name, how))
@@ -174,28 +185,30 @@
         if not how.answers_reservations:
             self.after(
                 RESERVATION_TIMEOUT,
-                lambda: self.feed(ev.ReservationEnded(*key, ev.Reservation.UNANSWERED)),
+                lambda: self.feed(events.ReservationEnded(*key, ReservationOutcome.UNANSWERED)),
             )
 
-    def do_release(self, effect: ev.Release) -> None:
+    def on_release(self, effect: effects.Release) -> None:
         how = self.behaviours[effect.endpoint.name]
-        self.releases.setdefault(effect.id, set()).add(effect.number)
+        self.releases.setdefault(effect.request_id, set()).add(effect.call_number)
         if how.connects:
             self.after(how.delay, lambda: self.write_release(effect, how))
         else:
             self.after(RELEASE_TIMEOUT, lambda: self.answer_release(effect, False))
 
-    def write_release(self, effect: ev.Release, how: Behaviour) -> None:
-        if effect.number in self.releases.get(effect.id, ()):
+    def write_release(self, effect: effects.Release, how: Behaviour) -> None:
+        if effect.call_number in self.releases.get(effect.request_id, ()):
             self.after(how.delay, lambda: self.release(effect, how))
 
-    def answer_release(self, effect: ev.Release, heard: bool) -> None:
-        if effect.number in self.releases.get(effect.id, ()):
-            self.releases[effect.id].discard(effect.number)
-            self.feed(ev.ReleaseAnswered(effect.id, effect.taken, effect.number, heard))
+    def answer_release(self, effect: effects.Release, heard: bool) -> None:
+        if effect.call_number in self.releases.get(effect.request_id, ()):
+            self.releases[effect.request_id].discard(effect.call_number)
+            self.feed(
+                events.ReleaseCallEnded(effect.request_id, effect.accepted_at, effect.call_number, heard)
+            )
 
-    def do_stopreleases(self, effect: ev.StopReleases) -> None:
-        self.releases.pop(effect.id, None)
+    def on_cancel_releases(self, effect: effects.CancelReleases) -> None:
+        self.releases.pop(effect.request_id, None)
 
     # --- the endpoints' side
 
@@ -245,15 +258,20 @@
         if work.over:
             return
         work.over = True
-        statuses = {"reset": Status.RESET, "error": Status.ERROR, "full": Status.FULL, "": Status.MISS}
+        statuses = {
+            "reset": AttemptStatus.RESET,
+            "error": AttemptStatus.ERROR,
+            "full": AttemptStatus.OVERLOADED,
+            "": AttemptStatus.PREFILLED,
+        }
         self.change(work.id, counts=True, reading=-1, adds="" if how.fails else f"state at {name}")
         self.after(how.delay, lambda: self.end_read(key, statuses[how.fails], name, how))
 
-    def end_read(self, key: tuple[str, int], status: Status, name: str, how: Behaviour) -> None:
+    def end_read(self, key: tuple[str, int], status: AttemptStatus, name: str, how: Behaviour) -> None:
         """Let a read's end arrive. One whose connection broke may go on, unless it was given up before.
 
         The state of a read that was given up goes by itself, but for one that has just ended."""
-        if key in self.out and status is Status.RESET and how.reads_on:
+        if key in self.out and status is AttemptStatus.RESET and how.reads_on:
             self.after(how.reads_on, lambda: self.change(key[0], counts=True, adds=f"state at {name}"))
         self.end(key, status)
 
@@ -269,7 +287,7 @@
     def end_without_state(self, key: tuple[str, int]) -> None:
         if key in self.out:
             del self.out[key]
-            self.feed(ev.Ended(*key, Status.FULL, 1))
+            self.feed(events.AttemptEnded(*key, AttemptStatus.OVERLOADED, 1))
 
     def finish_decode(self, key: tuple[str, int], work: Work, how: Behaviour) -> None:
         if work.over:
@@ -277,31 +295,35 @@
         if how.fails:
             work.over = True
             self.change(work.id, counts=True, decoding=-1)
-            statuses = {"reset": Status.RESET, "error": Status.ERROR, "full": Status.FULL}
+            statuses = {
+                "reset": AttemptStatus.RESET,
+                "error": AttemptStatus.ERROR,
+                "full": AttemptStatus.OVERLOADED,
+            }
             self.after(how.delay, lambda: self.end(key, statuses[how.fails]))
             return
         self.change(work.id, clears=True)
-        self.after(how.delay, lambda: key in self.out and self.feed(ev.Began(*key)))
+        self.after(how.delay, lambda: key in self.out and self.feed(events.ResponseStarted(*key)))
         self.after(how.work, lambda: self.finish_stream(key, work, how))
 
     def finish_stream(self, key: tuple[str, int], work: Work, how: Behaviour) -> None:
         if not work.over:
             work.over = True
             self.change(work.id, counts=True, decoding=-1)
-            self.after(how.delay, lambda: self.end(key, Status.OK))
+            self.after(how.delay, lambda: self.end(key, AttemptStatus.OK))
 
     def reserve(self, key: tuple[str, int], name: str, how: Behaviour) -> None:
         known = self.held[key[0]].reading > 0
         if how.grants:
             self.change(key[0], counts=True, adds=f"place at {name}")
-        result = ev.Reservation.UNKNOWN
+        result = ReservationOutcome.UNKNOWN
         if known:
-            result = ev.Reservation.HELD if how.grants else ev.Reservation.NOT_HELD
+            result = ReservationOutcome.RESERVED if how.grants else ReservationOutcome.REJECTED
         if how.answers_reservations:
             wait = how.delay + (0 if known else UNKNOWN_AFTER)
-            self.after(wait, lambda: self.feed(ev.ReservationEnded(*key, result)))
+            self.after(wait, lambda: self.feed(events.ReservationEnded(*key, result)))
 
-    def release(self, effect: ev.Release, how: Behaviour) -> None:
-        if not self.held[effect.id].decoding:
-            self.change(effect.id, clears=True)
+    def release(self, effect: effects.Release, how: Behaviour) -> None:
+        if not self.held[effect.request_id].decoding:
+            self.change(effect.request_id, clears=True)
         self.after(how.delay, lambda: self.answer_release(effect, True))
--- a/tests/held_oracle.py
+++ b/tests/support/kv_lease_oracle.py
@@ -11,7 +11,17 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 
-from standins import DONE, EVENT, STREAM, chunk, entry, message, platform, read_message, within
+from stand_ins import (
+    DONE,
+    EVENT,
+    STREAM,
+    chunk,
+    message,
+    read_message,
+    registry_entry,
+    running_router,
+    within,
+)
 
 SLACK = 0.3  # seconds that state may be held beyond the settings' release time
 UNKNOWN_AFTER = 0.3  # seconds after which a reservation with no read out is answered
@@ -245,9 +255,9 @@
     endpoints = {name: Endpoint(record, name, kind) for name, kind in kinds.items()}
     for endpoint in endpoints.values():
         await endpoint.__aenter__()
-    entries = [entry(each.name, each.address, each.kind) for each in endpoints.values()]
+    entries = [registry_entry(each.name, each.address, each.kind) for each in endpoints.values()]
     try:
-        async with platform(tmp_path, entries, settings=settings) as program:
+        async with running_router(tmp_path, entries, settings=settings) as program:
             program.entries = entries
             yield program, record, endpoints
     finally:
--- a/tests/standins.py
+++ b/tests/support/stand_ins.py
@@ -8,8 +8,8 @@
 import sys
 from contextlib import asynccontextmanager
 
-from hoplane.emulator.conductors import free_port
-from hoplane.emulator.http import STREAM_HEAD, chunk, message, read_message
+from llm_router.emulator.conductors import free_port
+from llm_router.emulator.http import STREAM_HEAD, chunk, message, read_message
 
 LIMIT = 20  # seconds that any wait may take before a test fails
 
@@ -24,7 +24,7 @@
 DONE = b"data: [DONE]\n\n: X-Backend-Load: latency_ms=3,x0=0.5\n\n"
 
 
-class Server:
+class StandInServer:
     """A stand-in that answers each call by `play(call, writer)`, and keeps what came."""
 
     def __init__(self, play):
@@ -70,7 +70,7 @@
         return self.named(start)
 
 
-class Discovery(Server):
+class StandInDiscovery(StandInServer):
     """Discovery's agent: a list that can be changed under a watch."""
 
     def __init__(self, entries):
@@ -97,13 +97,13 @@
 
         return come_back
 
-    async def tell(self, entries):
+    async def publish(self, entries):
         async with self.changed:
             self.entries, self.index = entries, self.index + 1
             self.changed.notify_all()
 
 
-def entry(name, address, kind, status="Ready"):
+def registry_entry(name, address, kind, status="Ready"):
     return {
         "name": name,
         "address": address,
@@ -145,13 +145,13 @@
 }
 
 
-class Program:
+class RouterProcess:
     """The program as a process, with its log."""
 
     def __init__(self, process, address):
         self.process, self.address, self.log = process, address, []
 
-    async def line(self, event):
+    async def wait_for_log(self, event):
         """Wait for a line of the log."""
         while True:
             raw = await within(self.process.stderr.readline())
@@ -181,14 +181,14 @@
         """End the program and give the lines of its log that tell of its own faults."""
         assert await self.stop() == 0
         lines = [json.loads(line) for line in (await within(self.process.stderr.read())).splitlines()]
-        bad = ("library", "task_broke", "request_broke", "relay_broke", "loop_fault")
+        bad = ("library", "task_failed", "request_handler_failed", "relay_failed", "event_loop_error")
         return [line for line in [*self.log, *lines] if line["event"] in bad]
 
     async def connect(self):
         host, port = self.address.split(":")
         return await asyncio.open_connection(host, int(port))
 
-    async def ask(self, data):
+    async def exchange(self, data):
         """Send raw bytes on a new connection and give the whole answer."""
         reader, writer = await self.connect()
         writer.write(data)
@@ -199,7 +199,7 @@
 
 
 @asynccontextmanager
-async def started(*arguments, address, module="hoplane", **environ):
+async def started_process(*arguments, address, module="llm_router", **environ):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -209,9 +209,9 @@
         stderr=asyncio.subprocess.PIPE,
         limit=1 << 20,
     )
-    program = Program(process, address)
+    program = RouterProcess(process, address)
     try:
-        await program.line("started")
+        await program.wait_for_log("started")
         yield program
     finally:
         if process.returncode is None:
@@ -220,12 +220,12 @@
 
 
 @asynccontextmanager
-async def platform(tmp_path, entries, plan=None, **changes):
+async def running_router(tmp_path, entries, plan=None, **changes):
     """Start the program as the platform does, before a discovery that lists the entries.
 
-    `plan`: the system calls of the program that fail (hoplane.emulator.failing_calls)."""
+    `plan`: the system calls of the program that fail (llm_router.emulator.failing_calls)."""
     address = f"127.0.0.1:{free_port()}"
-    async with Discovery(entries) as discovery:
+    async with StandInDiscovery(entries) as discovery:
         told = {
             "name": "n1",
             "listen": address,
@@ -240,8 +240,11 @@
         file.write_text(json.dumps(told))
         environ = {"EDGE_CONFIG": str(file)}
         if plan is not None:
-            environ |= {"module": "hoplane.emulator.failing_calls", "HOPLANE_FAULT_PLAN": json.dumps(plan)}
-        async with started(address=address, **environ) as program:
+            environ |= {
+                "module": "llm_router.emulator.failing_calls",
+                "LLM_ROUTER_FAULT_PLAN": json.dumps(plan),
+            }
+        async with started_process(address=address, **environ) as program:
             program.discovery, program.file, program.told = discovery, file, told
             yield program
 
@@ -249,7 +252,7 @@
 FACTS = "prompt_len=100,max_out=20"
 
 
-def chat(id="r1", cls="lookup", left=4000, body=b'{"stream":true}', facts=FACTS, query=""):
+def chat_request(id="r1", cls="lookup", left=4000, body=b'{"stream":true}', facts=FACTS, query=""):
     return message(
         f"POST /v1/chat/completions{query} HTTP/1.1",
         body,
@@ -262,7 +265,7 @@
     )
 
 
-async def read_it(call, writer):
+async def prefill(call, writer):
     """Play a reader that reads, holds nothing and lets everything go."""
     if call[0].startswith("POST /v1/chat"):
         writer.write(message("HTTP/1.1 202 Accepted", b'{"cached_tokens":4}'))
@@ -270,7 +273,7 @@
         writer.write(message("HTTP/1.1 204 No Content"))
 
 
-async def write_it(call, writer):
+async def decode(call, writer):
     """Play a writer that streams an answer."""
     if call[0].startswith("POST /v1/chat"):
         writer.write(STREAM + chunk(EVENT) + chunk(USAGE + DONE) + b"0\r\n\r\n")
@@ -282,16 +285,19 @@
     await asyncio.Event().wait()
 
 
-async def never_read(call, writer):
+async def never_prefill(call, writer):
     """Play a reader that never ends a read, and answers all else."""
-    await (hang if call[0].startswith("POST /v1/chat") else read_it)(call, writer)
+    await (hang if call[0].startswith("POST /v1/chat") else prefill)(call, writer)
 
 
 @asynccontextmanager
-async def desk(tmp_path, read=read_it, write=write_it, **changes):
-    async with Server(read) as reader, Server(write) as writer:
-        entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
-        async with platform(tmp_path, entries, **changes) as program:
+async def router_with_endpoints(tmp_path, read=prefill, write=decode, **changes):
+    async with StandInServer(read) as reader, StandInServer(write) as writer:
+        entries = [
+            registry_entry("r1", reader.address, "prefill"),
+            registry_entry("w1", writer.address, "decode"),
+        ]
+        async with running_router(tmp_path, entries, **changes) as program:
             program.reader, program.writer, program.entries = reader, writer, entries
             yield program
 
@@ -305,7 +311,7 @@
             await go_on.wait()
             writer.write(chunk(DONE) + b"0\r\n\r\n")
         else:
-            await write_it(call, writer)
+            await decode(call, writer)
 
     return play
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -5,7 +5,8 @@
 from pathlib import Path
 
 import pytest
-from conftest import ROOT
+
+ROOT = Path(__file__).parent.parent
 
 HOOK = (ROOT / "tests" / "conftest.py").read_text()
 TESTS = """
--- a/tests/test_log_reader.py
+++ b/tests/test_log_reader.py
@@ -3,28 +3,28 @@
 import asyncio
 import json
 
-from standins import chat, desk, entry, message, run, within
+from stand_ins import chat_request, message, registry_entry, router_with_endpoints, run, within
 
 DRAINING_ENTRIES = 1500  # the line that names them all is larger than a pipe holds
 
 
 async def get_ready(program):
-    return (await program.ask(message("GET /health/ready HTTP/1.1", Host="h")))[0].split()[1]
+    return (await program.exchange(message("GET /health/ready HTTP/1.1", Host="h")))[0].split()[1]
 
 
 def test_changes_are_still_heard_when_nobody_reads_the_log_any_more(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             program.log_pipe.close()
             come_back = await program.discovery.lose()
             await asyncio.sleep(0.3)
             await come_back()
             await within(program.discovery.wait_for("GET /registry/instances "))
             draining = [{**each, "status": "Terminating"} for each in program.entries]
-            await program.discovery.tell(draining)
+            await program.discovery.publish(draining)
             await asyncio.sleep(1)
             before = len(program.reader.named("POST /v1/chat"))
-            assert (await program.ask(chat("late")))[0].split()[1] == "503"
+            assert (await program.exchange(chat_request("late")))[0].split()[1] == "503"
             assert len(program.reader.named("POST /v1/chat")) == before, "sent to a draining endpoint"
             assert await program.stop() == 0
 
@@ -35,19 +35,19 @@
     """Stop reading the log, and give the list whose log line fills its pipe."""
     program.log_pipe.pause_reading()
     name = "x" * 60
-    others = (entry(f"{name}{n}", f"127.0.0.1:{n + 1}", "decode") for n in range(DRAINING_ENTRIES))
+    others = (registry_entry(f"{name}{n}", f"127.0.0.1:{n + 1}", "decode") for n in range(DRAINING_ENTRIES))
     return [*program.entries, *({**each, "status": "Terminating"} for each in others)]
 
 
 def test_requests_are_served_while_nobody_reads_the_log(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             listed = fill_the_log(program)
-            await program.discovery.tell(listed)
+            await program.discovery.publish(listed)
             await asyncio.sleep(0.5)
             for number in range(10):
                 async with asyncio.timeout(5):
-                    assert (await program.ask(chat(f"r{number}")))[0].split()[1] == "200"
+                    assert (await program.exchange(chat_request(f"r{number}")))[0].split()[1] == "200"
             program.log_pipe.resume_reading()
             assert await program.stop() == 0
 
@@ -56,14 +56,14 @@
 
 def test_the_log_tells_how_many_lines_did_not_fit(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             listed = fill_the_log(program)
             for _ in range(12):
-                await program.discovery.tell(listed)
+                await program.discovery.publish(listed)
                 await asyncio.sleep(0.2)
             assert await get_ready(program) == "200"
             program.log_pipe.resume_reading()
-            lost = await program.line("log_lost")
+            lost = await program.wait_for_log("log_lines_dropped")
             assert lost["lines"] > 0
             assert await program.stop() == 0
             rest = [json.loads(line) for line in (await within(program.process.stderr.read())).splitlines()]
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -10,10 +10,10 @@
 from datetime import timedelta
 
 import pytest
-from standins import SETTINGS, Discovery, Program, free_port, message, run
+from stand_ins import SETTINGS, RouterProcess, StandInDiscovery, free_port, message, run
 
-from hoplane import log_writer
-from hoplane.log_writer import BUFFER_MOST, LogWriter
+from llm_router import log_writer
+from llm_router.log_writer import BUFFER_MOST, LogWriter
 
 SOON = timedelta(seconds=3)
 
@@ -107,20 +107,21 @@
     """Else the first socket that is opened has its number, and the log is written into it."""
 
     async def test():
-        async with Discovery([]) as discovery:
+        async with StandInDiscovery([]) as discovery:
             address = f"127.0.0.1:{free_port()}"
             told = {"name": "n", "listen": address, "discovery": discovery.address, "settings": SETTINGS}
             file = tmp_path / "config.json"
             file.write_text(json.dumps(told))
             process = await asyncio.create_subprocess_shell(
-                f"exec {sys.executable} -m hoplane <&- >&- 2>&-", env={**os.environ, "EDGE_CONFIG": str(file)}
+                f"exec {sys.executable} -m llm_router <&- >&- 2>&-",
+                env={**os.environ, "EDGE_CONFIG": str(file)},
             )
-            program = Program(process, address)
+            program = RouterProcess(process, address)
             try:
                 await discovery.wait_for("GET /registry/instances")
                 await asyncio.sleep(0.5)
                 for _ in range(5):
-                    answer = await program.ask(message("GET /health/ready HTTP/1.1", Host="h"))
+                    answer = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
                     assert answer is not None and answer[0].split()[1] == "200"
                 assert await program.stop() == 0
             finally:
--- a/tests/test_odd_settings.py
+++ b/tests/test_malformed_settings.py
@@ -3,10 +3,10 @@
 import copy
 
 import pytest
-from standins import SETTINGS
+from stand_ins import SETTINGS
 
-from hoplane.config import ConfigError, platform
-from hoplane.decision.rules import Router
+from llm_router.configuration import ConfigurationError, platform_configuration
+from llm_router.routing.policy import RoutingPolicy
 
 TOLD = {
     "name": "n",
@@ -60,15 +60,15 @@
         else:
             place[last] = odd
         try:
-            config = platform(told)
-        except ConfigError as error:
+            config = platform_configuration(told)
+        except ConfigurationError as error:
             assert "\n" not in str(error) and str(error)
         else:
-            Router(config.settings, config.seed)
+            RoutingPolicy(config.settings, config.seed)
 
 
 @pytest.mark.parametrize("name", ["retry_after", "max_retry_after", "cancel", "attempts_cap", "conn_idle"])
 def test_an_optional_setting_may_be_missing(name):
     told = copy.deepcopy(TOLD)
     told["settings"]["allowed"].pop(name)
-    assert platform(told).settings.classes
+    assert platform_configuration(told).settings.classes
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hoplane import tool
+from llm_router import tool
 
 
 @pytest.fixture
@@ -13,7 +13,7 @@
 
 
 def test_what_init_writes_checks_well(app, capsys):
-    assert tool.main(["check", str(app / "hoplane.toml")]) == 0
+    assert tool.main(["check", str(app / "llm_router.toml")]) == 0
     assert "desk: 1 endpoints" in capsys.readouterr().out
     assert tool.main(["init", str(app)]) == 2, "nothing is written over"
 
@@ -25,13 +25,18 @@
 @pytest.mark.parametrize(
     ("file", "old", "new", "word"),
     [
-        ("hoplane.toml", "sockets = 1024", "sockets = 32", "limits.sockets: must be at least 64"),
-        ("hoplane.toml", "memory_mb = 192", 'memory_mb = "much"', "limits.memory_mb: must be a whole number"),
-        ("hoplane.toml", "127.0.0.1:9000", "127.0.0.1", "listen: must be HOST:PORT"),
-        ("hoplane.toml", "target = 1000000000", "", "settings.target is missing"),
-        ("hoplane.toml", 'clusters = "clusters.json"', "", "xds.clusters: is missing"),
-        ("hoplane.toml", "side_effect", "perhaps", "idempotency=perhaps"),
-        ("hoplane.toml", "[limits]", "[limits", "hoplane.toml: "),
+        ("llm_router.toml", "sockets = 1024", "sockets = 32", "limits.sockets: must be at least 64"),
+        (
+            "llm_router.toml",
+            "memory_mb = 192",
+            'memory_mb = "much"',
+            "limits.memory_mb: must be a whole number",
+        ),
+        ("llm_router.toml", "127.0.0.1:9000", "127.0.0.1", "listen: must be HOST:PORT"),
+        ("llm_router.toml", "target = 1000000000", "", "settings.target is missing"),
+        ("llm_router.toml", 'clusters = "clusters.json"', "", "xds.clusters: is missing"),
+        ("llm_router.toml", "side_effect", "perhaps", "idempotency=perhaps"),
+        ("llm_router.toml", "[limits]", "[limits", "llm_router.toml: "),
         ("clusters.json", '"name": "desk"', '"name": ""', "clusters.json: resources.0.name: is missing"),
         ("endpoints.json", "HEALTHY", "FINE", "lb_endpoints.0.health_status"),
         ("endpoints.json", "9001", "0", "socket_address"),
@@ -41,5 +46,5 @@
     path = app / file
     assert old in path.read_text()
     path.write_text(path.read_text().replace(old, new))
-    assert tool.main(["check", str(app / "hoplane.toml")]) == 2
+    assert tool.main(["check", str(app / "llm_router.toml")]) == 2
     assert word in capsys.readouterr().err
--- a/tests/test_acknowledged.py
+++ b/tests/transport/test_acknowledged.py
@@ -3,11 +3,11 @@
 import asyncio
 import socket
 
-from standins import SETTINGS, run, within
+from stand_ins import SETTINGS, run, within
 
-from hoplane.config import platform
-from hoplane.net.acknowledged import ROUND_TRIPS, ArrivalWatch, unacknowledged
-from hoplane.net.pool import Pool
+from llm_router.configuration import platform_configuration
+from llm_router.transport.acknowledged import ROUND_TRIPS, ArrivalWatch, unacknowledged
+from llm_router.transport.pool import ConnectionPool
 
 
 async def connection():
@@ -75,7 +75,7 @@
         loop = asyncio.get_running_loop()
         address = "{}:{}".format(*listener.getsockname())
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        pool = Pool(platform(told), 8)
+        pool = ConnectionPool(platform_configuration(told), 8)
 
         async def send():
             await pool.request("POST", address, "/", data=b"x" * size)
--- a/tests/test_client_gone.py
+++ b/tests/transport/test_client_disconnect.py
@@ -6,12 +6,12 @@
 from types import SimpleNamespace
 
 import pytest
-from standins import SETTINGS, chat, free_port, within
+from stand_ins import SETTINGS, chat_request, free_port, within
 
-from hoplane.config import platform
-from hoplane.core.events import Asked
-from hoplane.fronts.platform import Platform
-from hoplane.net.arrival import Loop
+from llm_router.configuration import platform_configuration
+from llm_router.frontends.platform import Platform
+from llm_router.lifecycle.events import RequestReceived
+from llm_router.transport.arrival import Loop
 
 
 async def what_is_fed(client_does):
@@ -19,7 +19,7 @@
     address = "127.0.0.1", free_port()
     told = {"name": "n", "listen": "{}:{}".format(*address), "discovery": "127.0.0.1:1", "settings": SETTINGS}
     fed = []
-    front = Platform(platform(told), SimpleNamespace(exchanges={}, feed=fed.append))
+    front = Platform(platform_configuration(told), SimpleNamespace(exchanges={}, feed=fed.append))
     await front.server.start()
     with socket.create_connection(address) as client:
         while not front.server.door.connections:
@@ -31,21 +31,21 @@
             await asyncio.sleep(0)
     front.server.acceptor.close()
     await within(front.server.door.shutdown(0))
-    return [event for event in fed if isinstance(event, Asked)]
+    return [event for event in fed if isinstance(event, RequestReceived)]
 
 
 def leaves(client):
-    client.sendall(chat())
+    client.sendall(chat_request())
     client.close()
 
 
 def ends_its_sending(client):
-    client.sendall(chat())
+    client.sendall(chat_request())
     client.shutdown(socket.SHUT_WR)
 
 
 def resets(client):
-    client.sendall(chat())
+    client.sendall(chat_request())
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.close()
 
@@ -57,9 +57,13 @@
 
 @pytest.mark.parametrize("client_does", [leaves, ends_its_sending, resets])
 def test_a_client_that_left_while_its_request_waited_is_not_served(client_does, monkeypatch):
-    monkeypatch.setattr("hoplane.net.arrival.BLOCKED", 60.0)  # a look that a busy machine delays did not wait
+    monkeypatch.setattr(
+        "llm_router.transport.arrival.BLOCKED", 60.0
+    )  # a look that a busy machine delays did not wait
     assert run(what_is_fed(client_does)) == []
 
 
 def test_a_client_that_stays_is_served():
-    assert [asked.id for asked in run(what_is_fed(lambda client: client.sendall(chat())))] == ["r1"]
+    assert [
+        asked.request_id for asked in run(what_is_fed(lambda client: client.sendall(chat_request())))
+    ] == ["r1"]
--- a/tests/test_aio.py
+++ b/tests/transport/test_connections.py
@@ -9,11 +9,20 @@
 from aiohttp import web
 from aiohttp.client_proto import ResponseHandler
 from aiohttp.web_protocol import RequestHandler, _ErrInfo
-from standins import Server, message
+from stand_ins import StandInServer, message
 
-from hoplane.net.aio import FRESH, Caller, Connector, Door, Peer, Spoilt, TurnedAway, never_resend
+from llm_router.transport.aio import (
+    FRESH,
+    ClientConnection,
+    HttpServer,
+    MalformedResponseError,
+    RejectedConnection,
+    UpstreamConnection,
+    UpstreamConnector,
+    never_resend,
+)
 
-PINS = (Path(__file__).parent.parent / "requirements.txt").read_text().split()
+PINS = (Path(__file__).parents[2] / "requirements.txt").read_text().split()
 
 
 def test_the_release_is_the_pinned_one():
@@ -27,12 +36,16 @@
     assert hasattr(ResponseHandler, "set_response_params") and hasattr(ResponseHandler, "feed_data")
 
     async def test():
-        connector = Connector()
-        assert isinstance(connector._factory(), Peer) and connector._conns == {} and connector.keeping
+        connector = UpstreamConnector()
+        assert (
+            isinstance(connector._factory(), UpstreamConnection)
+            and connector._conns == {}
+            and connector.keeping
+        )
         session = aiohttp.ClientSession(connector=connector)
         assert session._retry_connection is True
         never_resend(session)
-        door = Door(None, None, 5, 5, 5, 5)
+        door = HttpServer(None, None, 5, 5, 5, 5)
         assert door._connections == {} and door.caller().idle
         await session.close()
 
@@ -48,8 +61,11 @@
         await asyncio.Event().wait()
 
     async def test():
-        async with Server(spoil) as server, aiohttp.ClientSession(connector=Connector()) as session:
-            with pytest.raises(Spoilt):
+        async with (
+            StandInServer(spoil) as server,
+            aiohttp.ClientSession(connector=UpstreamConnector()) as session,
+        ):
+            with pytest.raises(MalformedResponseError):
                 async with asyncio.timeout(10), session.get(f"http://{server.address}/") as answer:
                     await answer.read()
 
@@ -61,8 +77,8 @@
         writer.write(message("HTTP/1.1 200 OK", b"x"))
 
     async def test():
-        connector = Connector()
-        async with Server(answer) as server, aiohttp.ClientSession(connector=connector) as session:
+        connector = UpstreamConnector()
+        async with StandInServer(answer) as server, aiohttp.ClientSession(connector=connector) as session:
             for _ in range(3):
                 async with session.get(f"http://{server.address}/") as got:
                     assert await got.read() == b"x"
@@ -86,13 +102,13 @@
             return None
 
     async def test():
-        door, wires = Door(never, None, 3, 1, 5, 5), [Wire() for _ in range(3)]
+        door, wires = HttpServer(never, None, 3, 1, 5, 5), [Wire() for _ in range(3)]
         for wire in wires:
             caller = door()
             caller.connection_made(wire)
             caller.since -= 2 * FRESH.total_seconds()
         taken = [door() for _ in range(4)]  # as many as the loop accepts in one go
-        assert [type(each) for each in taken] == [Caller] * 3 + [TurnedAway]
+        assert [type(each) for each in taken] == [ClientConnection] * 3 + [RejectedConnection]
         assert all(wire.closed for wire in wires)
 
     asyncio.run(test())
@@ -100,18 +116,18 @@
 
 def test_a_flood_is_met_without_a_look_at_every_connection(monkeypatch):
     looked = []
-    resting = Caller.resting
+    resting = ClientConnection.resting
 
     def look(caller):
         looked.append(caller)
         return resting.fget(caller)
 
-    monkeypatch.setattr(Caller, "resting", property(look))
+    monkeypatch.setattr(ClientConnection, "resting", property(look))
 
     async def test():
-        door = Door(None, None, 50, 1, 5, 5)
+        door = HttpServer(None, None, 50, 1, 5, 5)
         for _ in range(50):
-            caller = Caller(door, loop=asyncio.get_running_loop())
+            caller = ClientConnection(door, loop=asyncio.get_running_loop())
             caller.transport, caller.since = SimpleNamespace(close=lambda: None), 0.0
             door._connections[caller] = None
         oldest = next(iter(door._connections))
@@ -130,7 +146,7 @@
             await answer.wait()
             return web.Response(text="done")
 
-        door = Door(handle, None, 5, 5, 500, 500)
+        door = HttpServer(handle, None, 5, 5, 500, 500)
         listener = await asyncio.get_running_loop().create_server(door, "127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(*listener.sockets[0].getsockname())
         writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/tests/test_discovery.py
+++ b/tests/transport/test_discovery.py
@@ -6,16 +6,16 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from standins import SETTINGS, Server, entry, message, within
+from stand_ins import SETTINGS, StandInServer, message, registry_entry, within
 
-from hoplane.__main__ import Conductor
-from hoplane.config import platform
-from hoplane.fronts.registry_list import read_list
-from hoplane.net.discovery import Discovery
-from hoplane.net.pool import RESERVED, Pool, may_take_kept
+from llm_router.__main__ import RouterService
+from llm_router.configuration import platform_configuration
+from llm_router.frontends.registry_list import read_list
+from llm_router.transport.discovery import Discovery
+from llm_router.transport.pool import DISCOVERY_SOCKETS, ConnectionPool, may_use_release_sockets
 
 TOLD_WITHIN = 6.0  # seconds after discovery had a change and could be reached
-OLD, NEW = entry("old", "127.0.0.1:1", "prefill"), entry("new", "127.0.0.1:2", "decode")
+OLD, NEW = registry_entry("old", "127.0.0.1:1", "prefill"), registry_entry("new", "127.0.0.1:2", "decode")
 WHOLE = {"index": 7, "snapshot": True, "endpoints": [NEW]}
 
 
@@ -86,14 +86,14 @@
 async def watched(play, known=True):
     """A watch of a stand-in; gives it, what it was told, and the stand-in."""
     told = asyncio.Queue()
-    async with Server(play) as agent:
-        config = platform(
+    async with StandInServer(play) as agent:
+        config = platform_configuration(
             {"name": "n", "listen": "127.0.0.1:1", "discovery": agent.address, "settings": SETTINGS}
         )
-        pool = Pool(config, RESERVED)
+        pool = ConnectionPool(config, DISCOVERY_SOCKETS)
         watch = Discovery(pool, agent.address, read_list, told.put_nowait)
         if known:
-            watch.take({"index": 5, "snapshot": True, "endpoints": [OLD]})
+            watch.accept_list({"index": 5, "snapshot": True, "endpoints": [OLD]})
             told.get_nowait()
         watching = asyncio.create_task(watch.watch())
         try:
@@ -128,7 +128,7 @@
         begun = asyncio.get_running_loop().time()
         listed = await within(told.get())
         took = asyncio.get_running_loop().time() - begun
-    return [each.name for each in listed.endpoints], listed.whole, took
+    return [each.name for each in listed.endpoints], listed.is_full, took
 
 
 @pytest.mark.parametrize("known", [True, False], ids=["watching", "at the start"])
@@ -152,7 +152,7 @@
             await (silent(writer) if calls <= 2 else indented(writer))
 
         async with watched(play) as (_, told, _):
-            assert (await asyncio.wait_for(told.get(), TOLD_WITHIN)).whole
+            assert (await asyncio.wait_for(told.get(), TOLD_WITHIN)).is_full
 
     asyncio.run(test())
 
@@ -169,7 +169,7 @@
                 each.connect_ex(full.getsockname())
             async with watched(fails_once(silent)) as (watch, told, agent):
                 await agent.wait_for("GET")
-                config = platform(
+                config = platform_configuration(
                     {"name": "n", "listen": "127.0.0.1:1", "discovery": hangs, "settings": SETTINGS}
                 )
                 moved = watch.moved(config)
@@ -177,7 +177,7 @@
                 await asyncio.sleep(1)
                 watching.cancel()
                 again = moved.moved(
-                    platform(
+                    platform_configuration(
                         {
                             "name": "n",
                             "listen": "127.0.0.1:1",
@@ -187,7 +187,7 @@
                     )
                 )
                 watching = asyncio.create_task(again.watch())
-                assert (await asyncio.wait_for(told.get(), 1)).whole, "asked for at once"
+                assert (await asyncio.wait_for(told.get(), 1)).is_full, "asked for at once"
                 watching.cancel()
             for each in held:
                 each.close()
@@ -197,7 +197,7 @@
 
 def test_requests_that_hold_all_their_sockets_leave_discovery_its_own():
     async def test():
-        async with Server(fails_once(indented)) as agent:
+        async with StandInServer(fails_once(indented)) as agent:
             told = {
                 "name": "n",
                 "listen": "127.0.0.1:1",
@@ -205,12 +205,12 @@
                 "settings": SETTINGS,
                 "limits": {"sockets": 64, "memory_mb": 96},
             }
-            conductor = Conductor(platform(told), lambda: platform(told))
+            conductor = RouterService(platform_configuration(told), lambda: platform_configuration(told))
             form = (socket.AF_INET, socket.SOCK_STREAM, 0)
-            may_take_kept.set(True)  # releases have taken theirs, too
-            taken = [conductor.pool.open(form) for _ in range(conductor.pool.most)]
+            may_use_release_sockets.set(True)  # releases have taken theirs, too
+            taken = [conductor.pool.open_socket(form) for _ in range(conductor.pool.max_sockets)]
             with pytest.raises(OSError):
-                conductor.pool.open(form)
+                conductor.pool.open_socket(form)
             await agent.wait_for("GET /registry/instances?since=7")
             conductor.watching.stop()
             for pool in conductor.pools:
@@ -240,7 +240,7 @@
                 back.set()
                 loop = asyncio.get_running_loop()
                 begun = loop.time()
-                assert (await within(told.get())).whole
+                assert (await within(told.get())).is_full
                 assert loop.time() - begun < 0.6, "waited for a call that is never answered"
 
     asyncio.run(test())
@@ -256,7 +256,7 @@
 
         async with watched(play, known=False) as (watch, told, agent):
             for _ in range(4):
-                assert (await within(told.get())).whole
+                assert (await within(told.get())).is_full
                 watch.index = None
                 for transport in list(agent.open):
                     transport.abort()
--- a/tests/test_bad_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -4,27 +4,27 @@
 import time
 
 import pytest
-from standins import (
+from stand_ins import (
     EVENT,
     STREAM,
     USAGE,
-    Server,
-    chat,
+    StandInServer,
+    chat_request,
     chunk,
-    desk,
-    entry,
+    decode,
     hang,
     message,
-    never_read,
+    never_prefill,
     read_message,
+    registry_entry,
+    router_with_endpoints,
     run,
-    write_it,
 )
 from test_kserve import ANSWER, assignment, infer, sidecar, status
 
-HEAD, _, BODY = chat().partition(b"\r\n\r\n")
+HEAD, _, BODY = chat_request().partition(b"\r\n\r\n")
 BARE = HEAD.replace(b"\r\nContent-Length: 15", b"")
-HIDDEN = chat(id="hidden")
+HIDDEN = chat_request(id="hidden")
 
 
 def with_head(line, body=BODY):
@@ -55,11 +55,11 @@
     "silence": b"",
     "half a head": HEAD[:60],
     "half a body": HEAD + b"\r\n\r\n" + BODY[:7],
-    "no id": chat().replace(b"X-Correlation-Id: r1\r\n", b""),
+    "no id": chat_request().replace(b"X-Correlation-Id: r1\r\n", b""),
     "a line that goes on": HEAD + b"\r\nX-Folded: 1\r\n 2\r\n\r\n" + BODY,
     "a bare line feed": HEAD.replace(b"\r\n", b"\n") + b"\n\n" + BODY,
     "a null byte": HEAD + b"\r\nX-Null: \0\r\n\r\n" + BODY,
-    "HTTP 9": chat().replace(b"HTTP/1.1", b"HTTP/9.9"),
+    "HTTP 9": chat_request().replace(b"HTTP/1.1", b"HTTP/9.9"),
 }
 
 
@@ -95,9 +95,9 @@
 
 def test_what_a_bad_client_sends_ends_within_three_seconds_and_reaches_nobody(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             await all_end(program, b"/v1/chat/completions", [program.reader, program.writer])
-            assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
+            assert (await program.exchange(chat_request(id="good")))[0].split()[1] == "200"
             assert not await program.faults()
 
     run(test())
@@ -105,7 +105,7 @@
 
 def test_the_same_on_the_v2_front(tmp_path):
     async def test():
-        async with Server(answer_v2) as server, sidecar(tmp_path, server) as program:
+        async with StandInServer(answer_v2) as server, sidecar(tmp_path, server) as program:
             await all_end(program, b"/v2/models/desk/infer", [server])
             assert await status(program, infer()) == 200
             assert not await program.faults()
@@ -115,9 +115,9 @@
 
 def test_what_waits_behind_a_bad_request_is_not_taken(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             for name in ("both lengths", "both, turned", "noise", "a length too short"):
-                got = await ended(program, chat(id="before") + BAD[name] + chat(id="behind"))
+                got = await ended(program, chat_request(id="before") + BAD[name] + chat_request(id="behind"))
                 assert got.count(b" 400 Bad") == 1 and got.count(b" 200 OK") <= 1, (name, got)
             calls = program.reader.named("POST") + program.writer.named("POST")
             assert {call[1].get("x-correlation-id", "before") for call in calls} <= {"before"}
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("framing", [b"Content-Length: 60000000", b"Transfer-Encoding: chunked"])
 def test_sixty_megabytes_are_answered_though_the_client_reads_only_when_all_is_sent(tmp_path, framing):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             begun = time.monotonic()
             reader, writer = await program.connect()
             writer.write(with_head(framing, b""))
@@ -151,13 +151,13 @@
     async def waits(call, writer):
         if call[0].startswith("POST /v1/chat"):
             await go_on.wait()
-        await write_it(call, writer)
+        await decode(call, writer)
 
     async def test():
-        async with desk(tmp_path, write=waits) as program:
-            first = asyncio.ensure_future(program.ask(chat(id="mine")))
+        async with router_with_endpoints(tmp_path, write=waits) as program:
+            first = asyncio.ensure_future(program.exchange(chat_request(id="mine")))
             await program.writer.wait_for("POST /v1/chat")
-            assert (await program.ask(chat(id="mine")))[0].split()[1] == "409"
+            assert (await program.exchange(chat_request(id="mine")))[0].split()[1] == "409"
             go_on.set()
             assert (await first)[0].split()[1] == "200" and len(program.writer.named("POST /v1/chat")) == 1
 
@@ -166,16 +166,16 @@
 
 def test_silent_connections_by_hundreds_leave_room_for_usual_clients(tmp_path):
     async def test():
-        async with desk(tmp_path, limits={"memory_mb": 96, "sockets": 256}) as program:
+        async with router_with_endpoints(tmp_path, limits={"memory_mb": 96, "sockets": 256}) as program:
             silent = [ended(program, b"") for _ in range(400)]
             flood = asyncio.gather(*silent)
             begun = time.monotonic()
             for number in range(30):
-                first, *_ = await program.ask(chat(id=f"r{number}"))
+                first, *_ = await program.exchange(chat_request(id=f"r{number}"))
                 assert first.split()[1] in ("200", "503")
                 await asyncio.sleep(0)
             assert (await flood) == [b""] * 400 and time.monotonic() - begun < 3
-            assert (await program.ask(chat(id="after")))[0].split()[1] == "200"
+            assert (await program.exchange(chat_request(id="after")))[0].split()[1] == "200"
 
     run(test())
 
@@ -208,7 +208,7 @@
 
     async def play(call, writer):
         if not call[0].startswith("POST /v1/chat"):
-            return await write_it(call, writer)
+            return await decode(call, writer)
         writer.write(data)
         if then:
             await go_on.wait()
@@ -221,16 +221,21 @@
 def test_a_stream_spoilt_at_its_opening_may_have_run(tmp_path):
     async def one(folder, name, data):
         folder.mkdir()
-        async with Server(write_it) as second, desk(folder, write=writes(data)) as program:
-            booked = await program.ask(chat(cls="booking"))
+        async with (
+            StandInServer(decode) as second,
+            router_with_endpoints(folder, write=writes(data)) as program,
+        ):
+            booked = await program.exchange(chat_request(cls="booking"))
             assert booked[0].split()[1] == "502", (name, booked)
             assert len(program.writer.named("POST /v1/chat")) == 1, "it may have run"
             assert await program.writer.closed.get(), "its connection is not used again"
-            await program.discovery.tell([*program.entries, entry("w2", second.address, "decode")])
-            while (await program.line("endpoints"))["known"] != 3:
+            await program.discovery.publish(
+                [*program.entries, registry_entry("w2", second.address, "decode")]
+            )
+            while (await program.wait_for_log("endpoint_list_updated"))["known"] != 3:
                 pass
             for number in range(4):  # a safe one goes to the other writer, if it met the bad one
-                assert (await program.ask(chat(id=f"s{number}")))[0].split()[1] == "200", name
+                assert (await program.exchange(chat_request(id=f"s{number}")))[0].split()[1] == "200", name
             assert not await program.faults()
 
     async def test():
@@ -244,9 +249,9 @@
     async def one(folder, name, data):
         folder.mkdir()
         go_on = asyncio.Event()
-        async with desk(folder, write=writes(STREAM + chunk(EVENT), data, go_on)) as program:
+        async with router_with_endpoints(folder, write=writes(STREAM + chunk(EVENT), data, go_on)) as program:
             reader, writer = await program.connect()
-            writer.write(chat())
+            writer.write(chat_request())
             got = await reader.readuntil(EVENT)
             go_on.set()
             got += await asyncio.wait_for(reader.read(-1), 5)
@@ -271,7 +276,7 @@
 
     async def more(call, writer):
         if not call[0].startswith("POST /v1/chat"):
-            return await write_it(call, writer)
+            return await decode(call, writer)
         ahead = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
         bad = STREAM[:-2] + b"X-Backend-Load: =,nan=nan,\xff=1,inflight=many\r\n\r\n"
         writer.write(ahead)
@@ -284,9 +289,9 @@
         return None
 
     async def test():
-        async with desk(tmp_path, write=more) as program:
+        async with router_with_endpoints(tmp_path, write=more) as program:
             for number in range(5):
-                first, _, body = await program.ask(chat(id=f"r{number}"))
+                first, _, body = await program.exchange(chat_request(id=f"r{number}"))
                 assert first.split()[1] == "200" and body.startswith(EVENT) and b"yours" not in body
 
     run(test())
@@ -299,12 +304,16 @@
             await hang(call, writer)
 
         folder.mkdir()
-        async with Server(play) as bad, Server(answer_v2) as good, sidecar(folder, bad) as program:
+        async with (
+            StandInServer(play) as bad,
+            StandInServer(answer_v2) as good,
+            sidecar(folder, bad) as program,
+        ):
             assert await status(program, infer(time_left_ms=2000)) == 502, name
             assert await status(program, infer(time_left_ms=2000)) == 409, name
             assert len(bad.calls) == 1 and await bad.closed.get()
             program.endpoints.write_text(assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY")))
-            await program.line("endpoints")
+            await program.wait_for_log("endpoint_list_updated")
             for number in range(4):
                 assert await status(program, infer(id=f"l{number}", cls="lookup")) == 200
             assert not await program.faults()
@@ -318,8 +327,8 @@
 
 def test_a_reader_whose_answer_cannot_be_read_is_not_the_end(tmp_path):
     async def test():
-        async with desk(tmp_path, read=never_read) as program:
+        async with router_with_endpoints(tmp_path, read=never_prefill) as program:
             program.reader.play = writes(b"\x80\x81\r\n\r\n")
-            assert (await program.ask(chat(left=2000)))[0].split()[1] == "503"
+            assert (await program.exchange(chat_request(left=2000)))[0].split()[1] == "503"
 
     run(test())
--- a/tests/test_runtime.py
+++ b/tests/transport/test_runtime.py
@@ -7,28 +7,28 @@
 from types import SimpleNamespace
 
 import pytest
-from core_driver import start
-from standins import SETTINGS, Server, accept_release, entry, within
+from reducer_harness import start
+from stand_ins import SETTINGS, StandInServer, accept_release, registry_entry, within
 
-from hoplane.config import platform
-from hoplane.core import reducer
-from hoplane.core.events import Asked, Ended, Left, Loaded
-from hoplane.decision.interface import KEPT, Status
-from hoplane.fronts.kserve import problem
-from hoplane.fronts.registry_list import read_list
-from hoplane.net.discovery import Discovery
-from hoplane.net.server import Server as Door
-from hoplane.net.wire import Call
+from llm_router.configuration import platform_configuration
+from llm_router.frontends.kserve import problem
+from llm_router.frontends.registry_list import read_list
+from llm_router.lifecycle import reducer
+from llm_router.lifecycle.events import AttemptEnded, ClientDisconnected, LoadReportReceived, RequestReceived
+from llm_router.routing.events import AttemptStatus, ConnectionFault
+from llm_router.transport.discovery import Discovery
+from llm_router.transport.frontend_protocol import UpstreamRequest
+from llm_router.transport.server import FrontendServer
 
 
 def test_an_attempt_given_up_before_its_first_step_still_ends():
     async def test():
-        async with Server(accept_release) as reader, Server(accept_release) as writer:
+        async with StandInServer(accept_release) as reader, StandInServer(accept_release) as writer:
             runtime = start(reader, writer)
-            runtime.exchanges["q"] = None
-            runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
-            runtime.feed(Left("q"))
-            await within(runtime.rest())
+            runtime.proxied_requests["q"] = None
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
+            runtime.feed(ClientDisconnected("q"))
+            await within(runtime.wait_until_idle())
             await reader.wait_for("DELETE /v1/holds/q")
             assert not runtime.state.requests and not reader.named("POST")
             await runtime.pool.close()
@@ -42,7 +42,7 @@
 
     async def test():
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        answer = await Door(platform(told), broken, problem).handle(None)
+        answer = await FrontendServer(platform_configuration(told), broken, problem).handle(None)
         assert answer.status == 500 and json.loads(answer.body)["error"]
 
     asyncio.run(test())
@@ -50,10 +50,10 @@
 
 def test_connections_are_bounded_and_idle_ones_give_way():
     async def test():
-        async with Server(accept_release) as reader, Server(accept_release) as writer:
+        async with StandInServer(accept_release) as reader, StandInServer(accept_release) as writer:
             runtime = start(reader, writer, limits={"sockets": 64, "memory_mb": 96})
             pool, second = runtime.pool, timedelta(seconds=5)
-            assert pool.most == 27
+            assert pool.max_sockets == 27
             calls = (pool.call("DELETE", reader.address, "/v1/holds/a", second) for _ in range(40))
             done = await asyncio.gather(*calls)
             assert 1 <= done.count(204) <= 27 and done.count(None) == 40 - done.count(204)
@@ -65,11 +65,11 @@
 
 def test_closed_connections_take_no_place():
     async def test():
-        async with Server(accept_release) as reader, Server(accept_release) as writer:
+        async with StandInServer(accept_release) as reader, StandInServer(accept_release) as writer:
             pool = start(reader, writer, limits={"sockets": 64, "memory_mb": 96}).pool
             second = timedelta(seconds=5)
-            kind, room = (socket.AF_INET, socket.SOCK_STREAM, 0), pool.most - pool.kept
-            closed = [pool.open(kind) for _ in range(room)]
+            kind, room = (socket.AF_INET, socket.SOCK_STREAM, 0), pool.max_sockets - pool.release_sockets
+            closed = [pool.open_socket(kind) for _ in range(room)]
             for made in closed:  # still referred to, as by the cycles that only the garbage collector ends
                 made.close()
             assert await pool.call("DELETE", reader.address, "/v1/holds/a", second) == 204
@@ -85,22 +85,22 @@
         await accept_release(call, writer)
 
     async def test():
-        async with Server(mute) as reader, Server(accept_release) as writer:
+        async with StandInServer(mute) as reader, StandInServer(accept_release) as writer:
             runtime = start(reader, writer)
             pool, second = runtime.pool, timedelta(seconds=5)
             for server in (reader, writer):
                 calls = (pool.call("DELETE", server.address, "/v1/holds/a", second) for _ in range(3))
                 assert await asyncio.gather(*calls) == [204] * 3
-            call = Call("POST", "/v1/chat/completions", {}, b"{}")
+            call = UpstreamRequest("POST", "/v1/chat/completions", {}, b"{}")
             told = asyncio.Event()
-            runtime.exchanges["q"] = SimpleNamespace(
+            runtime.proxied_requests["q"] = SimpleNamespace(
                 call=lambda forward: call, refuse=lambda pause: told.set(), fail=lambda clash: told.set()
             )
-            runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
             await within(told.wait())
             assert pool.connector.drop_idle(reader.address) == 0, "none is left to wait on in vain"
             assert pool.connector.drop_idle(writer.address) == 3
-            await within(runtime.rest())
+            await within(runtime.wait_until_idle())
             await pool.close()
 
     asyncio.run(test())
@@ -116,7 +116,7 @@
             await accept_release(call, writer)
 
     async def test():
-        async with Server(drops) as reader, Server(accept_release) as writer:
+        async with StandInServer(drops) as reader, StandInServer(accept_release) as writer:
             runtime = start(reader, writer)
             pool, ended = runtime.pool, []
             reduced, runtime.feed = runtime.feed, lambda event: (ended.append(event), reduced(event))
@@ -125,15 +125,18 @@
             broken.set()
             assert await pool.call("DELETE", reader.address, "/v1/holds/b", timedelta(seconds=5)) is None
             assert pool.connector.keeping, "one alone may have been closed as idle"
-            call, told = Call("POST", "/v1/chat/completions", {}, b"{}"), asyncio.Event()
-            runtime.exchanges["q"] = SimpleNamespace(
+            call, told = UpstreamRequest("POST", "/v1/chat/completions", {}, b"{}"), asyncio.Event()
+            runtime.proxied_requests["q"] = SimpleNamespace(
                 call=lambda forward: call, refuse=lambda pause: told.set(), fail=lambda clash: told.set()
             )
-            runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
             await within(told.wait())
-            await within(runtime.rest())
-            ends = [(each.status, each.note) for each in ended if isinstance(each, Ended)]
-            assert ends[0] == (Status.RESET, KEPT) and (Status.RESET, 0) in ends, "the next were new ones"
+            await within(runtime.wait_until_idle())
+            ends = [(each.status, each.connection_fault) for each in ended if isinstance(each, AttemptEnded)]
+            assert (
+                ends[0] == (AttemptStatus.RESET, ConnectionFault.STALE)
+                and (AttemptStatus.RESET, ConnectionFault.NONE) in ends
+            ), "the next were new ones"
             assert not pool.connector.keeping
             await pool.close()
 
@@ -151,7 +154,7 @@
             writer.close()  # right behind the answer, as what is idle is closed
 
     async def test():
-        async with Server(answers) as reader, Server(accept_release) as writer:
+        async with StandInServer(answers) as reader, StandInServer(accept_release) as writer:
             pool, second = start(reader, writer).pool, timedelta(seconds=5)
 
             async def calls(method, within_s=second):
@@ -175,31 +178,34 @@
 def test_discovery_applies_lists_and_changes_and_asks_anew_after_a_step_back():
     told = []
     watch = Discovery(None, "", read_list, told.append)
-    one, two = entry("a", "127.0.0.1:1", "prefill"), entry("b", "127.0.0.1:2", "decode", "Odd")
-    watch.take({"index": 5, "snapshot": True, "endpoints": [one]})
-    watch.take({"index": 7, "snapshot": False, "endpoints": [two]})
-    watch.take({"index": 7, "snapshot": False, "endpoints": []})
-    assert [(each.whole, len(each.endpoints)) for each in told] == [(True, 1), (False, 1)]
+    one, two = (
+        registry_entry("a", "127.0.0.1:1", "prefill"),
+        registry_entry("b", "127.0.0.1:2", "decode", "Odd"),
+    )
+    watch.accept_list({"index": 5, "snapshot": True, "endpoints": [one]})
+    watch.accept_list({"index": 7, "snapshot": False, "endpoints": [two]})
+    watch.accept_list({"index": 7, "snapshot": False, "endpoints": []})
+    assert [(each.is_full, len(each.endpoints)) for each in told] == [(True, 1), (False, 1)]
     assert told[1].endpoints[0].state.value == "draining", "an unknown status gets nothing new"
-    watch.take({"index": 3, "snapshot": False, "endpoints": [one]})
+    watch.accept_list({"index": 3, "snapshot": False, "endpoints": [one]})
     assert watch.index is None and len(told) == 2, "changes of another list are not applied"
     for wrong in ({}, [], {"index": 1, "endpoints": [{"name": "x"}]}, json.loads("null")):
         try:
-            watch.take(wrong)
+            watch.accept_list(wrong)
         except ValueError:
             continue
         raise AssertionError(wrong)
 
 
 def test_the_listener_is_closed_only_when_nobody_waits_to_be_accepted(monkeypatch):
-    monkeypatch.setattr("hoplane.net.server.LINGER", timedelta())
-    monkeypatch.setattr("hoplane.net.server.ACCEPT_LAST", timedelta(seconds=9))
+    monkeypatch.setattr("llm_router.transport.server.LINGER", timedelta())
+    monkeypatch.setattr("llm_router.transport.server.ACCEPT_LAST", timedelta(seconds=9))
 
     async def test():
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        server, closed = Door(platform(told), None, problem), asyncio.Event()
+        server, closed = FrontendServer(platform_configuration(told), None, problem), asyncio.Event()
         server.acceptor = SimpleNamespace(close=closed.set, drained=False, failing=False)
-        stopping = asyncio.ensure_future(server.stop())
+        stopping = asyncio.ensure_future(server.shut_down())
         await asyncio.sleep(0.03)
         assert not closed.is_set()
         server.acceptor.drained = True
@@ -231,7 +237,7 @@
 
         listener = await asyncio.start_server(reads_late, "127.0.0.1", 0)
         address = f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"
-        async with Server(accept_release) as reader, Server(accept_release) as writer:
+        async with StandInServer(accept_release) as reader, StandInServer(accept_release) as writer:
             pool = start(reader, writer).pool
 
             async def send():
@@ -253,17 +259,17 @@
 
 def test_an_event_that_breaks_leaves_those_behind_it_their_turn(monkeypatch):
     async def test():
-        async with Server(accept_release) as reader, Server(accept_release) as writer:
+        async with StandInServer(accept_release) as reader, StandInServer(accept_release) as writer:
             runtime, taken = start(reader, writer), []
 
             def breaks(state, now, event):
-                runtime.feed(Left("behind"))  # it comes while this one is being handled
+                runtime.feed(ClientDisconnected("behind"))  # it comes while this one is being handled
                 raise RuntimeError("a fault of ours")
 
-            monkeypatch.setitem(reducer.HANDLERS, Loaded, breaks)
-            monkeypatch.setitem(reducer.HANDLERS, Left, lambda *_: taken.append("behind") or ())
+            monkeypatch.setitem(reducer.HANDLERS, LoadReportReceived, breaks)
+            monkeypatch.setitem(reducer.HANDLERS, ClientDisconnected, lambda *_: taken.append("behind") or ())
             with pytest.raises(RuntimeError):
-                runtime.feed(Loaded(1, Status.OK, timedelta(), {}))
+                runtime.feed(LoadReportReceived(1, AttemptStatus.OK, timedelta(), {}))
             assert taken == ["behind"]
             await runtime.pool.close()
 
--- a/tests/test_signals.py
+++ b/tests/transport/test_signals.py
@@ -5,7 +5,16 @@
 import signal
 
 import pytest
-from standins import DONE, EVENT, chat, desk, message, paused_stream, read_message, within
+from stand_ins import (
+    DONE,
+    EVENT,
+    chat_request,
+    message,
+    paused_stream,
+    read_message,
+    router_with_endpoints,
+    within,
+)
 
 
 def missing(program):
@@ -41,14 +50,14 @@
 )
 def test_a_reload_of_a_bad_file_is_one_line_and_changes_nothing(tmp_path, spoil):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             spoil(program)
             program.process.send_signal(signal.SIGHUP)
-            line = await program.line("reload_failed")
+            line = await program.wait_for_log("configuration_reload_failed")
             assert "\n" not in line["error"] and line["error"]
-            assert (await program.ask(chat()))[0].split()[1] == "200"
+            assert (await program.exchange(chat_request()))[0].split()[1] == "200"
             assert not await program.faults()
-            assert sum(each["event"] == "reload_failed" for each in program.log) == 1
+            assert sum(each["event"] == "configuration_reload_failed" for each in program.log) == 1
 
     asyncio.run(test())
 
@@ -58,14 +67,14 @@
     go_on = asyncio.Event()
 
     async def test():
-        async with desk(tmp_path, write=paused_stream(go_on)) as program:
+        async with router_with_endpoints(tmp_path, write=paused_stream(go_on)) as program:
             reader, writer = await program.connect()
-            writer.write(chat())
+            writer.write(chat_request())
             await program.writer.wait_for("POST /v1/chat")
             program.process.terminate()
-            await program.line("stopping")
+            await program.wait_for_log("stopping")
             program.process.send_signal(then)
-            late = await program.ask(message("GET /health/ready HTTP/1.1", Host="h"))
+            late = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
             assert late[0].split()[1] == "503"
             go_on.set()
             assert (await within(read_message(reader)))[2] == EVENT + DONE
--- a/tests/test_stepped_clock.py
+++ b/tests/transport/test_stepped_clock.py
@@ -4,7 +4,17 @@
 import time
 
 import pytest
-from standins import DONE, EVENT, SETTINGS, STREAM, chunk, desk, entry, message, run
+from stand_ins import (
+    DONE,
+    EVENT,
+    SETTINGS,
+    STREAM,
+    chunk,
+    message,
+    registry_entry,
+    router_with_endpoints,
+    run,
+)
 
 COLD = 4.0  # seconds until an endpoint is warm
 REQUESTS = 60
@@ -32,7 +42,7 @@
             X_Facts="prompt_len=100,max_out=20",
             X_Session_Key=f"{name}{number}",
         )
-        assert (await program.ask(request))[0].split()[1] == "200"
+        assert (await program.exchange(request))[0].split()[1] == "200"
     return len(program.new.named("POST /v1/chat")) - before
 
 
@@ -49,13 +59,15 @@
         settings = {**SETTINGS, "rules": RULES}
         settings["family_info"] = {**SETTINGS["family_info"], "ahead": False}
         plan = {"wall_clock_offset_s": offset}
-        async with desk(tmp_path, write=write_and_free, plan=plan, settings=settings) as program:
+        async with router_with_endpoints(
+            tmp_path, write=write_and_free, plan=plan, settings=settings
+        ) as program:
             play = program.reader.play
             async with type(program.reader)(play) as program.new:
-                told = entry("new", program.new.address, "prefill")
+                told = registry_entry("new", program.new.address, "prefill")
                 await program.discovery.wait_for("GET /registry/instances?since=1")
                 told["since_ms"] = int(time.time() * 1000)
-                await program.discovery.tell([*program.entries, told])
+                await program.discovery.publish([*program.entries, told])
                 begun = time.monotonic()
                 await asyncio.sleep(0.3)
                 first = await sent_to_new(program, "early")
--- a/tests/test_failing_calls.py
+++ b/tests/transport/test_system_call_faults.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from standins import chat, desk, message, read_message, run, within
+from stand_ins import chat_request, message, read_message, router_with_endpoints, run, within
 
 REQUESTS = 60
 LOCAL_CONNECT_ERRORS = ["EADDRNOTAVAIL", "ENOBUFS", "ENETUNREACH", "EINTR", "EAGAIN", "ENOMEM", "EADDRINUSE"]
@@ -20,7 +20,7 @@
     """Send requests one after another, each on a new connection; gives how many were served."""
     served = 0
     for number in range(REQUESTS):
-        answer = await program.ask(chat(f"{cls}{number}", cls))
+        answer = await program.exchange(chat_request(f"{cls}{number}", cls))
         served += answer is not None and answer[0].split()[1] == "200"
     return served
 
@@ -37,7 +37,7 @@
         writer.close()  # so that each request needs new connections
 
     async def test():
-        async with desk(tmp_path, plan=calls(call, errors, 4)) as program:
+        async with router_with_endpoints(tmp_path, plan=calls(call, errors, 4)) as program:
             for server in (program.reader, program.writer):
                 play = server.play
                 server.play = lambda call, writer, play=play: close(play, call, writer)
@@ -52,13 +52,13 @@
 
     async def test():
         plan = calls("accept", ["ENFILE"], 1, times=1, while_file=str(marker))
-        async with desk(tmp_path, plan=plan) as program:
+        async with router_with_endpoints(tmp_path, plan=plan) as program:
             marker.touch()
             program.process.terminate()
-            await program.line("stopping")
+            await program.wait_for_log("stopping")
             clients = [await program.connect() for _ in range(20)]
             for number, (_, writer) in enumerate(clients):
-                writer.write(chat(f"r{number}"))
+                writer.write(chat_request(f"r{number}"))
             answers = [await within(read_message(reader)) for reader, _ in clients]
             assert [answer and answer[0].split()[1] for answer in answers] == ["200"] * len(clients)
             assert await within(program.process.wait()) == 0
@@ -68,12 +68,12 @@
 
 def test_clients_are_served_in_time_while_accept_fails_now_and_then(tmp_path):
     async def test():
-        async with desk(tmp_path, plan=calls("accept", ACCEPT_ERRORS, 5)) as program:
+        async with router_with_endpoints(tmp_path, plan=calls("accept", ACCEPT_ERRORS, 5)) as program:
             loop, draw = asyncio.get_running_loop(), random.Random(1)
             late = []
             for number in range(REQUESTS):
                 begun = loop.time()
-                answer = await program.ask(chat(f"r{number}", left=900))
+                answer = await program.exchange(chat_request(f"r{number}", left=900))
                 if answer is None or answer[0].split()[1] != "200" or loop.time() - begun > 0.9:
                     late.append((number, loop.time() - begun))
                 await asyncio.sleep(draw.uniform(0, 0.01))
@@ -88,17 +88,17 @@
 
     async def test():
         plan = calls("accept", ["ENFILE"], 1, while_file=str(marker))
-        async with desk(tmp_path, plan=plan) as program:
+        async with router_with_endpoints(tmp_path, plan=plan) as program:
             marker.touch()
             reader, writer = await program.connect()
-            writer.write(chat(left=2000))
+            writer.write(chat_request(left=2000))
             await asyncio.sleep(0.6)
             marker.unlink()
             assert (await within(read_message(reader)))[0].split()[1] == "200"
             writer.close()
             told = int(program.reader.named("POST /v1/chat")[0][1]["x-time-left-ms"])
             assert told <= 2000 - 600 + 150, "more than the client has left"
-            ready = await program.ask(message("GET /health/ready HTTP/1.1", Host="h"))
+            ready = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
             assert ready[0].split()[1] == "200"
             assert await program.stop() == 0
 
--- a/tests/test_time_left.py
+++ b/tests/transport/test_time_remaining.py
@@ -8,26 +8,26 @@
 from contextlib import suppress
 
 import pytest
-from standins import (
+from stand_ins import (
     DONE,
     EVENT,
     SETTINGS,
     STREAM,
     LateListener,
-    Server,
-    chat,
+    StandInServer,
+    chat_request,
     chunk,
-    desk,
-    entry,
+    decode,
     message,
-    platform,
-    read_it,
+    prefill,
     read_message,
+    registry_entry,
+    router_with_endpoints,
+    running_router,
     within,
-    write_it,
 )
 
-from hoplane.net.arrival import Listener, Loop, input_since, looks
+from llm_router.transport.arrival import Listener, Loop, input_since, looks
 
 
 def patient(**allowed):
@@ -45,14 +45,17 @@
             while call := await read_message(reader):
                 if call[0].startswith("POST /v1/chat"):
                     told.append(int(call[1]["x-time-left-ms"]))
-                await read_it(call, writer)
+                await prefill(call, writer)
 
     async def test():
         gate = LateListener()
-        async with Server(write_it) as writer:
-            entries = [entry("r1", gate.address, "prefill"), entry("w1", writer.address, "decode")]
-            async with platform(tmp_path, entries, settings=patient()) as program:
-                asking = asyncio.ensure_future(program.ask(chat(left=4000)))
+        async with StandInServer(decode) as writer:
+            entries = [
+                registry_entry("r1", gate.address, "prefill"),
+                registry_entry("w1", writer.address, "decode"),
+            ]
+            async with running_router(tmp_path, entries, settings=patient()) as program:
+                asking = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
                 await asyncio.sleep(0.3)  # its first attempt to connect was dropped
                 server = await gate.open(serve)
                 assert (await within(asking))[0].split()[1] in ("200", "503")
@@ -69,18 +72,26 @@
         with suppress(ConnectionError):
             while call := await read_message(reader):
                 came.append(call[0])
-                await read_it(call, writer)
+                await prefill(call, writer)
 
     async def test():
         gate = LateListener()
-        async with Server(read_it) as other, Server(write_it) as writer:
-            entries = [entry("r1", gate.address, "prefill"), entry("w1", writer.address, "decode")]
-            async with platform(tmp_path, entries, settings=patient()) as program:
-                asking = asyncio.ensure_future(program.ask(chat(left=4000)))
+        async with StandInServer(prefill) as other, StandInServer(decode) as writer:
+            entries = [
+                registry_entry("r1", gate.address, "prefill"),
+                registry_entry("w1", writer.address, "decode"),
+            ]
+            async with running_router(tmp_path, entries, settings=patient()) as program:
+                asking = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
                 await asyncio.sleep(0.3)
-                drained = [{**entries[0], "status": "Terminating"}, entry("r2", other.address, "prefill")]
-                await program.discovery.tell([*drained, entries[1]])
-                while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
+                drained = [
+                    {**entries[0], "status": "Terminating"},
+                    registry_entry("r2", other.address, "prefill"),
+                ]
+                await program.discovery.publish([*drained, entries[1]])
+                while (await program.wait_for_log("endpoint_list_updated"))["not_ready"] != {
+                    "r1": "draining"
+                }:
                     pass
                 server = await gate.open(serve)
                 assert (await within(asking))[0].split()[1] == "200"
@@ -98,13 +109,13 @@
         with suppress(ConnectionError):
             while call := await read_message(reader):
                 came.append(call[0])
-                await write_it(call, writer)
+                await decode(call, writer)
 
     async def breaks(call, writer):
         if call[0].startswith("POST /v1/chat"):
             writer.close()  # the request came in whole: it may have run
         else:
-            await write_it(call, writer)
+            await decode(call, writer)
 
     window = {"idempotency": "token", "group": "all", "window": 700_000_000}
     told = patient()
@@ -113,11 +124,15 @@
 
     async def test():
         gate = LateListener()
-        async with Server(read_it) as reader, Server(breaks) as writer:
-            far = {**entry("w2", gate.address, "decode"), "group": 2}
-            entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode"), far]
-            async with platform(tmp_path, entries, settings=told) as program:
-                asking = asyncio.ensure_future(program.ask(chat(left=4000)))
+        async with StandInServer(prefill) as reader, StandInServer(breaks) as writer:
+            far = {**registry_entry("w2", gate.address, "decode"), "group": 2}
+            entries = [
+                registry_entry("r1", reader.address, "prefill"),
+                registry_entry("w1", writer.address, "decode"),
+                far,
+            ]
+            async with running_router(tmp_path, entries, settings=told) as program:
+                asking = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
                 await writer.wait_for("POST /v1/chat")
                 await asyncio.sleep(0.1)
                 server = await gate.open(serve)  # it comes up when TCP tries again, after a second
@@ -172,7 +187,7 @@
 @pytest.fixture
 def never_blocked(monkeypatch):
     """Let no look for input count as one that waited, however long a busy machine takes over it."""
-    monkeypatch.setattr("hoplane.net.arrival.BLOCKED", 60.0)
+    monkeypatch.setattr("llm_router.transport.arrival.BLOCKED", 60.0)
 
 
 def test_input_that_came_while_the_loop_was_busy_counts_from_the_look_before(never_blocked):
@@ -263,12 +278,12 @@
     async def read_and_note(call, writer):
         if call[0].startswith("POST /v1/chat"):
             told[call[1]["x-correlation-id"]] = int(call[1]["x-time-left-ms"])
-        await read_it(call, writer)
+        await prefill(call, writer)
 
     async def test():
-        async with desk(tmp_path, read=read_and_note, write=write_first_late) as program:
+        async with router_with_endpoints(tmp_path, read=read_and_note, write=write_first_late) as program:
             reader, writer = await program.connect()
-            writer.write(chat(id="r1", left=4000) + chat(id="r2", left=4000))
+            writer.write(chat_request(id="r1", left=4000) + chat_request(id="r2", left=4000))
             await program.writer.wait_for("POST /v1/chat")
             waits = 0.4
             await asyncio.sleep(waits)
@@ -283,9 +298,9 @@
 
 def test_a_body_that_comes_late_counts_from_its_last_byte(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with router_with_endpoints(tmp_path) as program:
             reader, writer = await program.connect()
-            data = chat(left=4000)
+            data = chat_request(left=4000)
             writer.write(data[:-3])
             await asyncio.sleep(0.5)
             writer.write(data[-3:])
