--- a/llm_router/lifecycle/__init__.py
+++ b/llm_router/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, attempts, holds and the fleet, with no I/O and no wire."""
+"""The life cycle of requests, attempts, KV leases and endpoints, with no I/O and no wire format."""
--- /dev/null
+++ b/llm_router/lifecycle/attempt_events.py
@@ -0,0 +1,164 @@
+"""Handlers of the events in the life of an attempt."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from datetime import timedelta
+
+from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.attempt import Arrival, Attempt, AttemptChange
+from llm_router.lifecycle.invariants import Invariant, record_violation
+from llm_router.lifecycle.policy_actions import consult_policy
+from llm_router.lifecycle.releases import cancel_release_calls, schedule_release
+from llm_router.lifecycle.request import Request, RequestChange
+from llm_router.lifecycle.request_completion import complete_request
+from llm_router.lifecycle.send_guard import write_denial
+from llm_router.lifecycle.state import RouterState
+from llm_router.lifecycle.units import to_nanoseconds
+from llm_router.routing import events as routing_events
+from llm_router.routing.events import AttemptStatus, ConnectionFault
+
+ENDPOINT_ANSWERED = {  # whether an endpoint answers, by how an attempt ended; other ends do not say
+    AttemptStatus.OK: True,
+    AttemptStatus.PREFILLED: True,
+    AttemptStatus.OVERLOADED: True,
+    AttemptStatus.ERROR: True,
+    AttemptStatus.CONNECT_FAILED: False,
+    AttemptStatus.RESET: False,
+    AttemptStatus.TIMEOUT: False,
+}
+ONLY_WRITTEN = frozenset(  # only an attempt that was written ends so
+    {
+        AttemptStatus.OK,
+        AttemptStatus.PREFILLED,
+        AttemptStatus.OVERLOADED,
+        AttemptStatus.ERROR,
+        AttemptStatus.RESET,
+    }
+)
+NEVER_ARRIVED = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
+
+
+def on_attempt_written(
+    state: RouterState, now: timedelta, event: events.AttemptWritten
+) -> Iterator[effects.Effect]:
+    """Record that an attempt may have reached its endpoint from now on."""
+    request = state.requests.get(event.request_id)
+    if request is None:
+        return
+    denial = write_denial(state, now, request, event.attempt, request.deadline)
+    request.attempts[event.attempt].change(AttemptChange.WRITTEN)
+    if denial is not None:
+        yield record_violation(state, Invariant.WRITE_ALLOWED, event.request_id, denial.value)
+    yield from schedule_release(request)
+
+
+def on_attempt_unacknowledged(
+    state: RouterState, now: timedelta, event: events.AttemptUnacknowledged
+) -> Iterator[effects.Effect]:
+    """Record that an attempt has not arrived at its endpoint's machine: it no longer delays a release."""
+    request = state.requests.get(event.request_id)
+    if request is not None:
+        yield from mark_attempt_missing(state, now, request, event.attempt)
+
+
+def mark_attempt_missing(
+    state: RouterState, now: timedelta, request: Request, index: int
+) -> Iterator[effects.Effect]:
+    """Record a sign that an attempt has not arrived, unless it has ended or its arrival is settled."""
+    attempt = request.attempts[index]
+    if not attempt.is_running or attempt.is_responding or attempt.arrival.is_settled:
+        return
+    attempt.arrival = Arrival.MISSING
+    state.endpoint_table.record_contact(attempt.endpoint_id, now, answered=False)
+    state.metrics.add("attempt_missing")
+    if attempt.is_prefill:
+        request.lease.attempt_missing(now)
+    yield from complete_request(state, now, request.request_id)
+
+
+def on_response_started(
+    state: RouterState, now: timedelta, event: events.ResponseStarted
+) -> Iterator[effects.Effect]:
+    """Commit the request to a response: its deadline no longer applies."""
+    request = state.requests.get(event.request_id)
+    if request is None or request.is_closed:
+        return
+    attempt = request.attempts[event.attempt]
+    attempt.change(AttemptChange.RESPONSE_STARTED)
+    request.change(RequestChange.RESPONSE_STARTED)
+    request.lease.response_started(now)
+    yield from cancel_release_calls(request)
+    state.endpoint_table.record_contact(attempt.endpoint_id, now, answered=True)
+    elapsed = now - attempt.opened_at
+    follows_prefill = any(each.is_prefill for each in request.attempts[: event.attempt])
+    state.metrics.add("first_token" if follows_prefill else "first_token_append_prefill", elapsed)
+    first_token = routing_events.FirstToken(
+        event.request_id, event.attempt, attempt.endpoint_id, to_nanoseconds(elapsed)
+    )
+    yield from consult_policy(state, now, first_token)
+
+
+def on_attempt_ended(
+    state: RouterState, now: timedelta, event: events.AttemptEnded
+) -> Iterator[effects.Effect]:
+    """Record the end of an attempt, and let the policy go on."""
+    request = state.requests.get(event.request_id)
+    if request is None or not request.attempts[event.attempt].is_running:
+        return
+    attempt = request.attempts[event.attempt]
+    had_response = attempt.is_responding
+    status = attempt.final_status(event.status)
+    attempt.end(status)
+    yield from _record_metrics(state, now, attempt, status)
+    if had_response or status is AttemptStatus.OK:
+        request.change(RequestChange.CLOSED)
+    if status in ONLY_WRITTEN or (attempt.was_written and status not in NEVER_ARRIVED):
+        if attempt.is_prefill:
+            request.lease.prefill_ended(now, status)
+        elif not had_response:
+            request.lease.decode_ended(now, status)
+        yield from cancel_release_calls(request)
+    _record_contact(state, now, attempt, status, event.connection_fault)
+    yield from consult_policy(state, now, _policy_event(event, now, request, attempt, status))
+    yield from complete_request(state, now, event.request_id)
+
+
+def _record_metrics(
+    state: RouterState, now: timedelta, attempt: Attempt, status: AttemptStatus
+) -> Iterator[effects.Effect]:
+    """Count the end of an attempt, and log the metrics of an interval that is over."""
+    phase = "prefill" if attempt.is_prefill else "decode"
+    state.metrics.add(f"{phase}_{status.value}", now - attempt.opened_at)
+    fields = state.metrics.end_interval(now)
+    if fields is not None:
+        yield effects.LogEvent("interval_metrics", fields)
+
+
+def _record_contact(
+    state: RouterState, now: timedelta, attempt: Attempt, status: AttemptStatus, fault: ConnectionFault
+) -> None:
+    """Record whether the endpoint answered, where the end of an attempt says so.
+
+    A connect that failed on the router's own machine says nothing of the endpoint."""
+    failed_locally = status is AttemptStatus.CONNECT_FAILED and fault is ConnectionFault.LOCAL
+    if status in ENDPOINT_ANSWERED and not failed_locally:
+        state.endpoint_table.record_contact(attempt.endpoint_id, now, answered=ENDPOINT_ANSWERED[status])
+
+
+def _policy_event(
+    event: events.AttemptEnded, now: timedelta, request: Request, attempt: Attempt, status: AttemptStatus
+) -> routing_events.AttemptEnded:
+    """Return the policy's event of an attempt's end."""
+    return routing_events.AttemptEnded(
+        request_id=event.request_id,
+        attempt=event.attempt,
+        endpoint_id=attempt.endpoint_id,
+        status=status,
+        elapsed=to_nanoseconds(now - attempt.opened_at),
+        request_closed=request.is_closed,
+        cached_tokens=event.cached_tokens,
+        state_missing=event.state_missing,
+        connection_fault=event.connection_fault,
+        load_report=event.load_report,
+    )
--- a/llm_router/lifecycle/effects.py
+++ b/llm_router/lifecycle/effects.py
@@ -1,4 +1,6 @@
-"""Effects that the reducer asks the transport for: plain data, all times on the router's clock."""
+"""Effects that the reducer returns for the transport to perform.
+
+They are plain data; all times are `timedelta` on the router's clock."""
 
 from __future__ import annotations
 
@@ -11,9 +13,11 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenAttempt:
-    """Send the request to an endpoint, which is told the time that is left to `deadline`.
+    """Send the request to an endpoint, with the time that remains until `deadline`.
 
-    `connect_within` bounds the wait for a new connection where KV state cannot wait for it longer."""
+    `connect_timeout` limits the wait for a new connection where KV state cannot wait for it longer; None for
+    no such limit. `write_deadline`: from this time on it may not be written. `awaits_release`: what an
+    earlier attempt left is being released, and this one waits a moment for that."""
 
     request_id: str
     attempt: int
@@ -21,13 +25,13 @@
     deadline: timedelta
     is_prefill: bool
     connect_timeout: timedelta | None = None
-    write_deadline: timedelta | None = None  # it may not be written from this time on
-    awaits_release: bool = False  # what an earlier attempt left is being released; this waits a moment for it
+    write_deadline: timedelta | None = None
+    awaits_release: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class AbortAttempt:
-    """Give an attempt up by closing its connection; its AttemptEnded is still awaited."""
+    """Close an attempt's connection; the reducer still waits for its AttemptEnded."""
 
     request_id: str
     attempt: int
@@ -35,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Make a reservation at a decode endpoint, once the prefill attempt's last byte is out."""
+    """Make a reservation at a decode endpoint, once the prefill attempt's last byte is written."""
 
     request_id: str
     attempt: int
@@ -44,7 +48,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Call an endpoint to release what is held for a request, wherever that is."""
+    """Call an endpoint to release what is held for a request, at whichever endpoint that is.
+
+    `accepted_at` and `call_number` come back in the ReleaseCallEnded."""
 
     request_id: str
     accepted_at: timedelta
@@ -54,14 +60,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelReleases:
-    """Give up the release calls of a request that are out: what they were for has gone, or is needed anew."""
+    """Cancel the running release calls of a request: what they were for has gone, or is needed once more."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class FetchLoadReport:
-    """Ask an endpoint for its load report; `server` is its number in the policy."""
+    """Fetch an endpoint's load report; `endpoint_id` is its number in the policy."""
 
     endpoint_id: int
     endpoint: Endpoint
@@ -69,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendRejection:
-    """Final answer: rejected, a retry is harmless after a pause."""
+    """Final answer: rejected, a retry after `retry_after` is harmless."""
 
     request_id: str
     retry_after: timedelta
@@ -78,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendFailure:
-    """Final answer: failed, nothing is promised. `clash`: a request with its id may have run before."""
+    """Final answer: failed, nothing is promised. `id_conflict`: a request with its id may have run before."""
 
     request_id: str
     reason: str
@@ -87,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScheduleTimer:
-    """Feed a TimerFired back at a clock time."""
+    """Feed a TimerFired back at a clock time; a timer of the policy's own is a number."""
 
     at: timedelta
     timer: int | LifecycleTimer
@@ -95,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """A line for the log; `seldom`: at most once a second."""
+    """Write a line to the log; `rate_limited`: at most once a second."""
 
     name: str
     fields: dict[str, object]
--- a/llm_router/lifecycle/endpoint.py
+++ b/llm_router/lifecycle/endpoint.py
@@ -12,9 +12,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A model server as discovery tells it; `started` is by the wall clock of discovery's machine.
+    """A model server as discovery lists it.
 
-    `address` and `kind` are empty where the entry is malformed there."""
+    `started_at` is by the wall clock of discovery's machine. `address` and `kind` are empty where the entry
+    is malformed there."""
 
     name: str
     address: str
--- a/llm_router/lifecycle/events.py
+++ b/llm_router/lifecycle/events.py
@@ -1,4 +1,6 @@
-"""Events that the reducer takes in: plain data, all times as `timedelta` on the router's clock."""
+"""Events that the transport feeds to the reducer.
+
+They are plain data; all times are `timedelta` on the router's clock."""
 
 from __future__ import annotations
 
@@ -12,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request, accepted: one final answer is owed. `once` is its idempotency key, if any."""
+    """A client's request; one final answer is owed. `idempotency_key` is None where it may run twice."""
 
     request_id: str
     class_name: str
@@ -37,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptWritten:
-    """An attempt's connection is up, and its bytes are on their way."""
+    """An attempt's connection is up, and its bytes are being written."""
 
     request_id: str
     attempt: int
@@ -61,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt is over, and its connection free or closed; fields as in the policy's event."""
+    """An attempt has ended, and its connection is idle or closed; fields as in the policy's event."""
 
     request_id: str
     attempt: int
@@ -73,7 +75,7 @@
 
 
 class ReservationOutcome(Enum):
-    """What came of a reservation call; the value names it in the log."""
+    """How a reservation call ended; the value names it in the log."""
 
     RESERVED = "reserved"
     REJECTED = "reservation_rejected"
@@ -83,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReservationEnded:
-    """A reservation call is over."""
+    """A reservation call has ended."""
 
     request_id: str
     attempt: int
@@ -92,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseCallEnded:
-    """A release call is over; `heard`: the endpoint has acknowledged it."""
+    """A release call has ended; `acknowledged`: the endpoint has acknowledged it."""
 
     request_id: str
     accepted_at: timedelta
@@ -102,7 +104,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestDeadline:
-    """Timer: a client's time is over. `taken` tells its request from an earlier one with the same id."""
+    """Timer: a client's time is over.
+
+    `accepted_at`, here and in the other timers, distinguishes the request from an earlier one with the same
+    id."""
 
     request_id: str
     accepted_at: timedelta
@@ -119,7 +124,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseDue:
-    """Timer: a release of what a request holds is due, or another call of one."""
+    """Timer: a release of what is held for a request is due, or the next round of its calls."""
 
     request_id: str
     accepted_at: timedelta
@@ -127,7 +132,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ArrivalDue:
-    """Timer: a prefill that a decode endpoint did not know of is answered by now, or lost."""
+    """Timer: a prefill that a decode endpoint did not know of has been answered by now, or is missing."""
 
     request_id: str
     accepted_at: timedelta
@@ -139,7 +144,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set with ScheduleTimer is due; the policy's own timers are numbers."""
+    """A timer set with ScheduleTimer has fired; the policy's own timers are numbers."""
 
     timer: int | LifecycleTimer
 
@@ -148,8 +153,8 @@
 class EndpointListReceived:
     """The endpoint list: a full snapshot, or the entries that changed.
 
-    `unheard` is how long before this list the last answer came, None if there was none before. `odd` names
-    the malformed entries."""
+    `since_last_answer` is how long before this list the previous answer of discovery came, None if there was
+    none. `malformed` names the malformed entries."""
 
     endpoints: tuple[Endpoint, ...]
     is_full: bool
@@ -159,7 +164,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReportReceived:
-    """What came of a load probe: the report, where one came in time."""
+    """A load probe has ended: its report, where one came in time."""
 
     endpoint_id: int
     status: AttemptStatus
--- a/llm_router/lifecycle/idempotency_registry.py
+++ b/llm_router/lifecycle/idempotency_registry.py
@@ -1,4 +1,4 @@
-"""Which ids may have run: bounded in number and in time, oldest dropped first."""
+"""The idempotency keys of requests that may have run, bounded in number and in time."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 @dataclass(slots=True)
 class IdempotencyRegistry:
-    """Ids of requests that must not run twice.
+    """Keys of requests that must not run twice.
 
-    Guards against a client that repeats a booking whose first sending may have run or is running. An id
-    is taken when the request comes and stays until `keep` after its end, unless it surely never ran."""
+    A client may repeat a booking whose first sending runs or may have run. A key is registered when its
+    request comes, and stays until `retention` after the request's end, unless it certainly never ran."""
 
     capacity: int
     retention: timedelta
     running: set[str] = field(default_factory=set)
-    completed: dict[str, timedelta] = field(default_factory=dict)  # oldest first
+    completed: dict[str, timedelta] = field(default_factory=dict)  # end times, oldest first
 
-    def clashes(self, key: str, now: timedelta) -> bool:
-        """Tell whether an id is running or may have run lately."""
+    def conflicts(self, key: str, now: timedelta) -> bool:
+        """Return whether a request with this key is running or may have run within the retention time."""
         self.expire(now)
         return key in self.running or key in self.completed
 
     @property
-    def full(self) -> bool:
-        """Tell whether another id would not fit: dropping one early could let a booking run twice."""
+    def is_full(self) -> bool:
+        """Whether no other key fits: dropping one early could let a booking run twice."""
         return len(self.running) + len(self.completed) >= self.capacity
 
     def start(self, key: str) -> None:
-        """Book an id as running."""
+        """Register a key as running."""
         self.running.add(key)
 
     def end(self, key: str, now: timedelta, may_have_run: bool) -> None:
-        """Book an id as over, once; one that never ran may come again."""
+        """Register a running key as ended; the key of a request that never ran may be used once more."""
         if key not in self.running:
             return
         self.running.discard(key)
@@ -41,6 +41,9 @@
             self.completed[key] = now
 
     def expire(self, now: timedelta) -> None:
-        """Drop what is older than the keeping time."""
-        while self.completed and now - next(iter(self.completed.values())) > self.retention:
-            del self.completed[next(iter(self.completed))]
+        """Remove the keys whose retention time is over."""
+        while self.completed:
+            oldest = next(iter(self.completed))
+            if now - self.completed[oldest] <= self.retention:
+                return
+            del self.completed[oldest]
--- a/llm_router/lifecycle/interval_metrics.py
+++ b/llm_router/lifecycle/interval_metrics.py
@@ -1,4 +1,4 @@
-"""Counts and times of what was met, for one log line an interval."""
+"""Counts and durations of what was met in an interval, for one line of the log."""
 
 from __future__ import annotations
 
@@ -6,36 +6,49 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-EVERY = timedelta(seconds=5)
+INTERVAL = timedelta(seconds=5)  # between two lines of the log, at least
 MILLISECOND = timedelta(milliseconds=1)
 
 
+@dataclass(slots=True)
+class DurationSummary:
+    """The sum and the maximum of several durations."""
+
+    total: timedelta = timedelta()
+    longest: timedelta = timedelta()
+
+    def add(self, duration: timedelta) -> None:
+        """Add one duration."""
+        self.total += duration
+        self.longest = max(self.longest, duration)
+
+
 @dataclass(slots=True)
 class IntervalMetrics:
-    """What was met since the last line."""
+    """Counts and durations since the last line of the log."""
 
-    since: timedelta | None = None
-    counts: Counter = field(default_factory=Counter)
-    times: dict[str, tuple[timedelta, timedelta]] = field(default_factory=dict)  # sum and longest, by name
+    started_at: timedelta | None = None
+    counts: Counter[str] = field(default_factory=Counter)
+    durations: dict[str, DurationSummary] = field(default_factory=dict)  # by name, for a part of the counts
 
-    def add(self, name: str, took: timedelta | None = None) -> None:
-        """Count one more, with the time that it took where one was told."""
+    def add(self, name: str, duration: timedelta | None = None) -> None:
+        """Count one more, with how long it took where that is known."""
         self.counts[name] += 1
-        if took is not None:
-            total, longest = self.times.get(name, (timedelta(), timedelta()))
-            self.times[name] = total + took, max(longest, took)
-
-    def line(self, now: timedelta) -> dict[str, object] | None:
-        """Give the facts of an interval once it is over, and begin the next."""
-        if self.since is None:
-            self.since = now
-        if now - self.since < EVERY or not self.counts:
+        if duration is not None:
+            self.durations.setdefault(name, DurationSummary()).add(duration)
+
+    def end_interval(self, now: timedelta) -> dict[str, object] | None:
+        """Return the log fields of the interval and start the next, None while this one is not over."""
+        if self.started_at is None:
+            self.started_at = now
+        if now - self.started_at < INTERVAL or not self.counts:
             return None
-        facts: dict[str, object] = {"seconds": round((now - self.since).total_seconds(), 1), **self.counts}
-        for name, (total, longest) in self.times.items():
-            facts[f"{name}_ms"] = round(total / self.counts[name] / MILLISECOND)
-            facts[f"{name}_max_ms"] = round(longest / MILLISECOND)
-        self.since = now
+        seconds = round((now - self.started_at).total_seconds(), 1)
+        fields: dict[str, object] = {"seconds": seconds, **self.counts}
+        for name, summary in self.durations.items():
+            fields[f"{name}_ms"] = round(summary.total / self.counts[name] / MILLISECOND)
+            fields[f"{name}_max_ms"] = round(summary.longest / MILLISECOND)
+        self.started_at = now
         self.counts.clear()
-        self.times.clear()
-        return facts
+        self.durations.clear()
+        return fields
--- a/llm_router/lifecycle/kv_lease.py
+++ b/llm_router/lifecycle/kv_lease.py
@@ -1,7 +1,7 @@
-"""The owner of what endpoints may hold for one request: its KV state, and reservations at decode servers.
+"""The KV state and the reservations that endpoints may hold for one request.
 
-It knows every call that may leave something behind, and ends only with a release that an endpoint has taken
-after the last moment at which something can have come to be held."""
+The lease knows every call that may leave something at an endpoint. It ends only with a release that an
+endpoint has acknowledged after the last moment at which something can have come to be held."""
 
 from __future__ import annotations
 
@@ -14,177 +14,230 @@
 from llm_router.routing.events import AttemptStatus
 
 MILLISECOND = timedelta(milliseconds=1)
-RELEASE_MARGIN = 50 * MILLISECOND  # of the release time: for the release calls themselves
-# The protocol gives 300 ms beyond the release time. Waits may use this much where that time is shorter: the
-# first for a decode server, the second between two releases of what may still come.
-TAKE_LEAST = AGAIN_LEAST = 100 * MILLISECOND
-RELEASE_WITHIN = 500 * MILLISECOND  # between two releases where the settings name no release time
-CONNECT_LEAST = 100 * MILLISECOND  # a connection over a busy link still comes up within this
-SETTLE = 15 * MILLISECOND  # a release waits so long after an attempt was cut off: most closes go ahead
-ON_ITS_WAY = 200 * MILLISECOND  # a close may take this long to its endpoint
-CALL_ON_ITS_WAY = timedelta(seconds=3)  # a reservation with no answer may arrive so late, after a cut
-READS_ON = timedelta(seconds=3)  # a server may go on for so long with a read whose connection broke
-
-# After these a prefill may have ended well at its server, whatever its client saw, or may yet: for so long.
-CUT_OFF = {
-    AttemptStatus.ERROR: ON_ITS_WAY,
-    AttemptStatus.TIMEOUT: ON_ITS_WAY,
-    AttemptStatus.CANCELLED: ON_ITS_WAY,
-    AttemptStatus.RESET: READS_ON,
+RELEASE_MARGIN = 50 * MILLISECOND  # of the release time, for the release calls themselves
+# The protocol gives 300 ms beyond the release time. Where that time is shorter, waits may use this much.
+MIN_CLAIM_TIME = 100 * MILLISECOND  # for a decode attempt to claim a KV state
+MIN_RELEASE_INTERVAL = 100 * MILLISECOND  # between two releases of what may still come to be held
+DEFAULT_RELEASE_INTERVAL = 500 * MILLISECOND  # the same where the settings name no release time
+MIN_CONNECT_TIME = 100 * MILLISECOND  # a connection over a busy link still comes up within this
+CLOSE_SETTLE_TIME = 15 * MILLISECOND  # a release waits so long after an abort: most closes arrive before it
+MAX_CLOSE_DELAY = 200 * MILLISECOND  # a close may take this long to its endpoint
+MAX_RESERVATION_DELAY = timedelta(seconds=3)  # an unanswered reservation may arrive so late, after a cut
+MAX_PREFILL_RUN_ON = timedelta(seconds=3)  # a prefill whose connection broke may run on for so long
+
+# After these a prefill may have ended well at its endpoint, whatever its client saw, or may yet: for so long.
+LATE_PREFILL_WINDOWS = {
+    AttemptStatus.ERROR: MAX_CLOSE_DELAY,
+    AttemptStatus.TIMEOUT: MAX_CLOSE_DELAY,
+    AttemptStatus.CANCELLED: MAX_CLOSE_DELAY,
+    AttemptStatus.RESET: MAX_PREFILL_RUN_ON,
 }
 
 
 class LeaseState(Enum):
     """What is known of a request's KV state and reservations."""
 
-    NOTHING = auto()  # no call was made that could leave something, or all of it has gone
-    READY = auto()  # a prefill's state waits for a decode attempt to take it in time
-    LEFTOVER = auto()  # something may be held, or come to be, that no attempt will take
+    EMPTY = auto()  # no call was made that could leave something, or all of it is released
+    AVAILABLE = auto()  # a prefill's KV state waits for a decode attempt to claim it in time
+    ORPHANED = auto()  # something may be held, or come to be, that no attempt will claim
+
+
+class LeaseChange(Enum):
+    """What happens to a lease."""
+
+    PREFILLED = auto()  # a prefill has left its KV state
+    LEFT_BEHIND = auto()  # a call may have left something that no attempt will claim
+    ABANDONED = auto()  # no attempt will claim what is held
+    PARTLY_RELEASED = auto()  # all that was held before some moment has gone
+    FULLY_RELEASED = auto()  # nothing can have come to be held since
+    EXPIRED = auto()  # no endpoint acknowledged a release; endpoints free by themselves what is left
+
+
+# A state that a change does not list stays as it is.
+LEASE_TRANSITIONS: dict[LeaseChange, dict[LeaseState, LeaseState]] = {
+    LeaseChange.PREFILLED: {
+        LeaseState.EMPTY: LeaseState.AVAILABLE,
+        LeaseState.ORPHANED: LeaseState.AVAILABLE,
+    },
+    LeaseChange.LEFT_BEHIND: {
+        LeaseState.EMPTY: LeaseState.ORPHANED,
+    },
+    LeaseChange.ABANDONED: {
+        LeaseState.EMPTY: LeaseState.ORPHANED,
+        LeaseState.AVAILABLE: LeaseState.ORPHANED,
+    },
+    LeaseChange.PARTLY_RELEASED: {
+        LeaseState.EMPTY: LeaseState.ORPHANED,
+        LeaseState.AVAILABLE: LeaseState.ORPHANED,
+    },
+    LeaseChange.FULLY_RELEASED: {
+        LeaseState.ORPHANED: LeaseState.EMPTY,
+    },
+    LeaseChange.EXPIRED: {
+        LeaseState.AVAILABLE: LeaseState.EMPTY,
+        LeaseState.ORPHANED: LeaseState.EMPTY,
+    },
+}
 
 
 @dataclass(slots=True)
 class KvLease:
-    """State machine of what may be held for one request, and of when it must be released.
+    """State machine of what may be held for one request, which says when a release is due.
 
     The release time counts from the last outcome or reservation. An attempt whose connection never comes up
-    is no outcome: the time runs on meanwhile."""
-
-    release_within: timedelta | None
-    holding: LeaseState = LeaseState.NOTHING
-    release_at: timedelta | None = None  # when the next release is due, unless an attempt is out
-    may_come_until: timedelta = timedelta()  # a release begun before this may miss something
-    cleared_at: timedelta = timedelta()  # all that was held before this has gone
-    left_at: timedelta = timedelta()  # when something was last left that no attempt will take
-    reads_on_until: timedelta = timedelta()  # a read whose connection broke may end well until then
-    reservations: int = 0  # reservation calls that are out
-    calls: ReleaseCalls | None = None  # the release that is being asked for
+    is no outcome: the time runs on meanwhile. All times are on the router's clock."""
+
+    release_timeout: timedelta | None  # the release time of the settings, None for no limit
+    state: LeaseState = LeaseState.EMPTY
+    release_at: timedelta | None = None  # when the next release is due, unless an attempt is running
+    may_arrive_until: timedelta = timedelta()  # a release that started before this may miss something
+    released_before: timedelta = timedelta()  # all that was held before this has gone
+    orphaned_at: timedelta = timedelta()  # when something was last left that no attempt will claim
+    prefill_may_run_until: timedelta = timedelta()  # until then a prefill whose connection broke may end well
+    pending_reservations: int = 0  # reservation calls that have not ended
+    release_calls: ReleaseCalls | None = None  # the calls of the release that is being made
 
     @property
-    def done(self) -> bool:
-        """Tell whether nothing is held, and nothing is out that could leave something."""
-        return self.holding is LeaseState.NOTHING and not self.reservations
+    def is_finished(self) -> bool:
+        """Whether nothing is held, and no call is out that could leave something."""
+        return self.state is LeaseState.EMPTY and not self.pending_reservations
 
     @property
-    def uncleared(self) -> bool:
-        """Tell whether something may be held of which no endpoint has taken a release yet."""
-        return self.holding is LeaseState.LEFTOVER and self.cleared_at <= self.left_at
+    def is_release_unconfirmed(self) -> bool:
+        """Whether something may be held of which no endpoint has acknowledged a release yet."""
+        return self.state is LeaseState.ORPHANED and self.released_before <= self.orphaned_at
 
-    def connect_within(self, now: timedelta) -> timedelta | None:
-        """Give how long a decode attempt may wait for its connection, None for no bound of ours.
+    def connect_timeout(self, now: timedelta) -> timedelta | None:
+        """Return how long a decode attempt may wait for its connection, None for no limit by the lease.
 
-        Half of what is left, so that a second server can be tried before the state must be released."""
-        if self.holding is not LeaseState.READY or self.release_at is None:
+        It is half of the time that is left, so that a second endpoint can be tried before the KV state must
+        be released."""
+        if self.state is not LeaseState.AVAILABLE or self.release_at is None:
             return None
-        left = max(self.release_at - now, MILLISECOND)
-        return min(left, max(left / 2, CONNECT_LEAST))
+        remaining = max(self.release_at - now, MILLISECOND)
+        return min(remaining, max(remaining / 2, MIN_CONNECT_TIME))
 
     def prefill_ended(self, now: timedelta, status: AttemptStatus) -> None:
-        """Note the end of an attempt at a prefill server that was sent."""
+        """Record the end of a prefill attempt that was written."""
         if status is AttemptStatus.PREFILLED:
-            self.holding, self.calls = LeaseState.READY, None
-            self.may_come_until = max(self.may_come_until, now)
-            self.release_at = self.taken_by(now)
-        elif status in CUT_OFF:
-            self.leave_behind(now, now + CUT_OFF[status])
+            self._change(LeaseChange.PREFILLED)
+            self.release_calls = None
+            self.may_arrive_until = max(self.may_arrive_until, now)
+            self.release_at = self._claim_deadline(now)
+        elif status in LATE_PREFILL_WINDOWS:
+            self._leave_behind(now, now + LATE_PREFILL_WINDOWS[status])
             if status is AttemptStatus.RESET:
-                self.reads_on_until = now + READS_ON
-            if self.holding is LeaseState.LEFTOVER:
-                self.release_at = now + SETTLE  # the time counts anew from this outcome
+                self.prefill_may_run_until = now + MAX_PREFILL_RUN_ON
+            if self.state is LeaseState.ORPHANED:
+                self.release_at = now + CLOSE_SETTLE_TIME  # the time counts anew from this outcome
 
     def decode_ended(self, now: timedelta, status: AttemptStatus) -> None:
-        """Note the end of an attempt that was sent and was to take the state: it waits for another.
+        """Record the end of a written attempt that was to claim the KV state, which waits for another.
 
-        The server may learn later that it was given up, and till then a release passes the state by."""
-        if self.holding is not LeaseState.READY:
+        The endpoint may learn later that the attempt was aborted, and till then a release passes the KV
+        state by."""
+        if self.state is not LeaseState.AVAILABLE:
             return
-        self.release_at = self.taken_by(now)
-        if status in CUT_OFF:
-            self.may_come_until = max(self.may_come_until, now + ON_ITS_WAY)
-
-    def taken_by(self, now: timedelta) -> timedelta | None:
-        """Give the time by which a decode attempt has to take a state that is there now."""
-        if self.release_within is None:
-            return None
-        return now + max(self.release_within - RELEASE_MARGIN, self.release_within / 2, TAKE_LEAST)
+        self.release_at = self._claim_deadline(now)
+        if status in LATE_PREFILL_WINDOWS:
+            self.may_arrive_until = max(self.may_arrive_until, now + MAX_CLOSE_DELAY)
 
     def reservation_sent(self) -> None:
-        """Note that a reservation is being asked for."""
-        self.reservations += 1
-
-    def reservation_ended(self, now: timedelta, result: ReservationOutcome) -> None:
-        """Note the end of a reservation call; what it may have left is released at the next occasion."""
-        self.reservations -= 1
-        if result is ReservationOutcome.REJECTED:
-            self.settle()
+        """Record that a reservation call has started."""
+        self.pending_reservations += 1
+
+    def reservation_ended(self, now: timedelta, outcome: ReservationOutcome) -> None:
+        """Record the end of a reservation call; what it may have left is released at the next occasion."""
+        self.pending_reservations -= 1
+        if outcome is ReservationOutcome.REJECTED:
+            self._finish_if_released()
         else:
-            late = CALL_ON_ITS_WAY if result is ReservationOutcome.UNANSWERED else timedelta()
-            self.leave_behind(now, now + late)
+            unanswered = outcome is ReservationOutcome.UNANSWERED
+            self._leave_behind(now, now + (MAX_RESERVATION_DELAY if unanswered else timedelta()))
 
     def attempt_missing(self, now: timedelta) -> None:
-        """Note that a prefill which is out has not come to its server: a place asked for it waits in vain."""
-        if self.reservations:
-            self.leave_behind(now, now)
-
-    def leave_behind(self, release_at: timedelta, may_come_until: timedelta) -> None:
-        """Note that something may be held, or come to be held until a time, which no attempt will take."""
-        self.may_come_until = max(self.may_come_until, may_come_until)
-        self.left_at = max(self.left_at, release_at)
-        if self.holding is not LeaseState.READY:
-            self.holding = LeaseState.LEFTOVER
-            self.release_by(release_at)
-
-    def release_by(self, moment: timedelta) -> None:
-        """Bring the next release forward to a time, unless it comes earlier already."""
-        self.release_at = moment if self.release_at is None else min(self.release_at, moment)
+        """Record that a running prefill has not arrived: a reservation for it waits in vain."""
+        if self.pending_reservations:
+            self._leave_behind(now, now)
 
-    def give_up(self, now: timedelta) -> None:
-        """Note that no attempt will take what is held: a release is due."""
-        if self.done:
+    def abandon(self, now: timedelta) -> None:
+        """Record that no attempt will claim what is held: a release is due."""
+        if self.is_finished:
             return
-        self.holding, self.left_at = LeaseState.LEFTOVER, now
-        if self.calls is None:
-            self.release_by(now + SETTLE if now < self.may_come_until else now)
+        self._change(LeaseChange.ABANDONED)
+        self.orphaned_at = now
+        if self.release_calls is None:
+            self._release_by(now + CLOSE_SETTLE_TIME if now < self.may_arrive_until else now)
 
-    def taken(self, now: timedelta) -> None:
-        """Note that the answer's stream has begun: all that was held went with it.
+    def response_started(self, now: timedelta) -> None:
+        """Record that the response has started: all that was held went with it.
 
         What came to be held a moment later, by a call that was still out, is left behind."""
-        self.calls = None
-        self.cleared(now)
+        self.release_calls = None
+        self._released(now)
+
+    def release_started(self, calls: ReleaseCalls) -> None:
+        """Record that a release is being made of all that is held."""
+        self._change(LeaseChange.ABANDONED)
+        self.release_calls = calls
+        self.release_at = None
+
+    def release_started_during_decode(self, calls: ReleaseCalls) -> None:
+        """Record that a release is being made while a decode attempt runs that was to claim the KV state.
+
+        An attempt that waits for the KV state keeps it. If the attempt never arrived, the KV state must go
+        in time."""
+        self.release_calls = calls
+        self.release_at = None
+
+    def release_acknowledged(self, started_at: timedelta) -> None:
+        """Record that an endpoint has acknowledged a release: all that was held before its start has gone."""
+        self.release_calls = None
+        if self.state is LeaseState.AVAILABLE:
+            self.released_before = max(self.released_before, started_at)
+        else:
+            self._released(started_at)
 
-    def begin_release(self, calls: ReleaseCalls) -> None:
-        """Note that a release is being asked for."""
-        self.holding, self.calls, self.release_at = LeaseState.LEFTOVER, calls, None
+    def release_unacknowledged(self) -> None:
+        """Give up: no endpoint has acknowledged a release for long; they free by themselves what is left."""
+        self._change(LeaseChange.EXPIRED)
+        self.release_calls = None
+        self.release_at = None
 
-    def press(self, calls: ReleaseCalls) -> None:
-        """Note that a release is asked for while a decode attempt is out that was to take the state.
+    def _change(self, change: LeaseChange) -> None:
+        """Enter the state that follows a change."""
+        self.state = LEASE_TRANSITIONS[change].get(self.state, self.state)
 
-        One that waits for the state keeps it; of one that never arrived the state must go in time."""
-        self.calls, self.release_at = calls, None
+    def _claim_deadline(self, now: timedelta) -> timedelta | None:
+        """Return the time by which a decode attempt has to claim a KV state that is there now."""
+        if self.release_timeout is None:
+            return None
+        return now + max(self.release_timeout - RELEASE_MARGIN, self.release_timeout / 2, MIN_CLAIM_TIME)
+
+    def _leave_behind(self, release_at: timedelta, may_arrive_until: timedelta) -> None:
+        """Record that something may be held, or come to be held until a time, that no attempt will claim."""
+        self.may_arrive_until = max(self.may_arrive_until, may_arrive_until)
+        self.orphaned_at = max(self.orphaned_at, release_at)
+        if self.state is not LeaseState.AVAILABLE:
+            self._change(LeaseChange.LEFT_BEHIND)
+            self._release_by(release_at)
+
+    def _release_by(self, moment: timedelta) -> None:
+        """Bring the next release forward to a time, unless it is due earlier."""
+        self.release_at = moment if self.release_at is None else min(self.release_at, moment)
 
-    def release_heard(self, begun: timedelta) -> None:
-        """Note that an endpoint has taken a release: all that was held before it began has gone."""
-        self.calls = None
-        if self.holding is LeaseState.READY:
-            self.cleared_at = max(self.cleared_at, begun)
-        else:
-            self.cleared(begun)
-
-    def release_unheard(self) -> None:
-        """Give up: no endpoint has taken a release for long, and servers free by themselves what is left."""
-        self.holding, self.calls, self.release_at = LeaseState.NOTHING, None, None
-
-    def cleared(self, moment: timedelta) -> None:
-        """Note that all that was held before a moment has gone; see to what may still come."""
-        self.cleared_at = max(self.cleared_at, moment)
-        self.holding = LeaseState.LEFTOVER
-        within = RELEASE_WITHIN if self.release_within is None else self.release_within
-        self.release_by(moment + max(within - RELEASE_MARGIN, AGAIN_LEAST))
-        self.settle()
-
-    def settle(self) -> None:
-        """End the leftovers once nothing can have come after the last time that all was cleared."""
-        if self.holding is not LeaseState.LEFTOVER or self.calls is not None or self.reservations:
+    def _released(self, moment: timedelta) -> None:
+        """Record that all that was held before a moment has gone; plan for what may still come."""
+        self.released_before = max(self.released_before, moment)
+        self._change(LeaseChange.PARTLY_RELEASED)
+        interval = DEFAULT_RELEASE_INTERVAL if self.release_timeout is None else self.release_timeout
+        self._release_by(moment + max(interval - RELEASE_MARGIN, MIN_RELEASE_INTERVAL))
+        self._finish_if_released()
+
+    def _finish_if_released(self) -> None:
+        """Empty an orphaned lease once nothing can have come after the moment before which all has gone."""
+        if self.state is not LeaseState.ORPHANED or self.release_calls is not None:
             return
-        if self.cleared_at >= self.may_come_until:
-            self.holding, self.release_at = LeaseState.NOTHING, None
+        if not self.pending_reservations and self.released_before >= self.may_arrive_until:
+            self._change(LeaseChange.FULLY_RELEASED)
+            self.release_at = None
--- a/llm_router/lifecycle/release_calls.py
+++ b/llm_router/lifecycle/release_calls.py
@@ -1,4 +1,4 @@
-"""The calls of one release: endpoints are asked, more of them with each try, until one takes it."""
+"""The calls of one release, made in rounds until an endpoint acknowledges one."""
 
 from __future__ import annotations
 
@@ -9,62 +9,67 @@
 
 from llm_router.lifecycle.endpoint import Endpoint
 
-RELEASE_TRY = timedelta(milliseconds=70)  # then others are asked as well
-SLOW_TRY = timedelta(milliseconds=250)  # the same once the first tries are over
-ASKED_AT_ONCE = (1, 2, 4, 4, 4)  # endpoints asked with each of the first tries, one with each further try
-NEXT_MOST = 8  # endpoints asked in a row within a try, each as the one before has refused
-TRIES_MOST = 25  # in all: some five seconds
+CALLS_PER_ROUND = (1, 2, 4, 4, 4)  # calls of each of the first rounds; each further round makes one
+ROUND_INTERVAL = timedelta(milliseconds=70)  # after one of the first rounds, other endpoints are called too
+LATER_ROUND_INTERVAL = timedelta(milliseconds=250)  # the same once the first rounds are over
+MAX_FOLLOW_UPS = 8  # calls in a row within a round, each in place of one that has failed
+MAX_ROUNDS = 25  # in all: some five seconds
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseCall:
-    """A call that is out."""
+    """A call that has not ended."""
 
     endpoint: Endpoint
-    begun: timedelta
+    started_at: timedelta
 
 
 @dataclass(slots=True)
 class ReleaseCalls:
-    """Which endpoints were asked for a release, and which come next.
+    """Which endpoints were called for a release, and which come next.
 
-    Guards against endpoints that are silent, refuse connections, or cannot be reached for a while."""
+    Several are called as some may be silent, refuse connections, or be out of reach for a while."""
 
-    next_try: timedelta
-    tries: int = 0
-    waiting: deque[Endpoint] = field(default_factory=deque)  # not yet asked in this pass
-    out: dict[int, ReleaseCall] = field(default_factory=dict)
-    next_left: int = NEXT_MOST
+    next_round_at: timedelta
+    rounds: int = 0
+    remaining: deque[Endpoint] = field(default_factory=deque)  # not yet called in this pass
+    running: dict[int, ReleaseCall] = field(default_factory=dict)  # by call number
+    follow_ups_left: int = MAX_FOLLOW_UPS  # in this round
 
     @property
-    def exhausted(self) -> bool:
-        """Tell whether there were tries enough."""
-        return self.tries >= TRIES_MOST
+    def is_exhausted(self) -> bool:
+        """Whether all rounds have been made."""
+        return self.rounds >= MAX_ROUNDS
 
-    def try_again(
+    def start_round(
         self, now: timedelta, order: Sequence[Endpoint], first_number: int
     ) -> dict[int, ReleaseCall]:
-        """Begin the calls of another try, numbered from a number on; `order` is for a new pass."""
-        count = ASKED_AT_ONCE[self.tries] if self.tries < len(ASKED_AT_ONCE) else 1
-        self.next_try = now + (RELEASE_TRY if self.tries < len(ASKED_AT_ONCE) else SLOW_TRY)
-        self.tries += 1
-        self.next_left = NEXT_MOST
-        if not self.waiting:
-            self.waiting.extend(order)
-        return self.begin(now, count, first_number)
-
-    def ask_next(self, now: timedelta, number: int) -> dict[int, ReleaseCall]:
-        """Begin a call in place of one that has failed, if none is out and this try allows another.
-
-        Guards against a flood of calls where all endpoints refuse, or no socket is left."""
-        if self.out or not self.next_left:
+        """Start the calls of the next round and return them by number, counted up from `first_number`.
+
+        `order` is the endpoints to call, used if all of the pass before were called."""
+        is_early = self.rounds < len(CALLS_PER_ROUND)
+        count = CALLS_PER_ROUND[self.rounds] if is_early else 1
+        self.next_round_at = now + (ROUND_INTERVAL if is_early else LATER_ROUND_INTERVAL)
+        self.rounds += 1
+        self.follow_ups_left = MAX_FOLLOW_UPS
+        if not self.remaining:
+            self.remaining.extend(order)
+        return self._start_calls(now, count, first_number)
+
+    def follow_up(self, now: timedelta, number: int) -> dict[int, ReleaseCall]:
+        """Start a call in place of one that has failed, and return it by its number; there may be none.
+
+        There is none while another is running, nor beyond a limit in each round: it would be a flood of
+        calls where all endpoints refuse, or no socket is left."""
+        if self.running or not self.follow_ups_left:
             return {}
-        self.next_left -= 1
-        return self.begin(now, 1, number)
-
-    def begin(self, now: timedelta, count: int, first_number: int) -> dict[int, ReleaseCall]:
-        """Begin calls to the endpoints that come next in this pass."""
-        count = min(count, len(self.waiting))
-        begun = {first_number + n: ReleaseCall(self.waiting.popleft(), now) for n in range(count)}
-        self.out.update(begun)
-        return begun
+        self.follow_ups_left -= 1
+        return self._start_calls(now, 1, number)
+
+    def _start_calls(self, now: timedelta, count: int, first_number: int) -> dict[int, ReleaseCall]:
+        """Start calls to the endpoints that come next in this pass."""
+        started: dict[int, ReleaseCall] = {}
+        for number in range(first_number, first_number + min(count, len(self.remaining))):
+            started[number] = ReleaseCall(self.remaining.popleft(), now)
+        self.running.update(started)
+        return started
--- a/llm_router/lifecycle/release_order.py
+++ b/llm_router/lifecycle/release_order.py
@@ -1,43 +1,74 @@
-"""The order in which endpoints are asked to release what is held for a request."""
+"""The order in which endpoints are called to release what is held for a request."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Iterator
 from datetime import timedelta
+from enum import IntEnum
 from itertools import chain, zip_longest
 from zlib import crc32
 
 from llm_router.lifecycle.endpoint import Endpoint
-from llm_router.lifecycle.state import Request, RouterState
+from llm_router.lifecycle.endpoint_table import Contact
+from llm_router.lifecycle.request import Request
+from llm_router.lifecycle.state import RouterState
 
-ASKED_MOST = 64  # endpoints that one pass goes through: of a large fleet an even spread
+MAX_ENDPOINTS = 64  # that one pass goes through: of a large fleet an even spread
+
+
+class ContactRank(IntEnum):
+    """What the last contact with an endpoint promises, best first."""
+
+    ANSWERED = 0
+    UNKNOWN = 1
+    FAILED = 2
 
 
 def release_order(state: RouterState, request: Request) -> tuple[Endpoint, ...]:
-    """Give the endpoint that answered last first, then the others by turns in every zone.
+    """Return the endpoint that answered last, then the others with the zones taking turns.
+
+    Any endpoint takes a release. The zones take turns as one may be cut off: all endpoints that took part
+    in a request may be in it, and so may all that come first in the list. The endpoints that just failed
+    come last, and behind them those that took part and are no longer listed: they are all that is left when
+    a list has become empty."""
+    by_contact = sorted(
+        _candidates(state, request),
+        key=lambda number: _contact_key(state.endpoint_table.last_contacts.get(number)),
+    )
+    listed = [state.endpoints[number] for number in by_contact]
+    unlisted = (each.endpoint for each in request.attempts if each.endpoint_id not in state.endpoints)
+    ordered = (*_by_turns_of_zones(listed, state.settings.zone), *unlisted)
+    return tuple(dict.fromkeys(endpoint for endpoint in ordered if endpoint is not None))
 
-    Any endpoint takes a release. Guards against a zone that is cut off: all that had part in a request may be
-    in it, and so may all that come first in the list. The servers that just failed come last, and behind them
-    those that had part and are listed no more: they are all that is left when a list has become empty."""
-    start = crc32(request.asked.request_id.encode())  # lest all routers ask the same one
-    others = state.listed.spread(ASKED_MOST, start)
+
+def _candidates(state: RouterState, request: Request) -> Iterator[int]:
+    """Yield the numbers of listed endpoints, first those that took part in the request, latest first."""
+    start = crc32(request.request_id.encode())  # lest all routers call the same one
+    others = state.endpoint_table.listed.spread(MAX_ENDPOINTS, start)
     cut = start % max(1, len(others))
-    had_part = [attempt.server for attempt in reversed(request.attempts)]
-    if request.reserved_at is not None:
-        had_part.append(request.reserved_at)
-    known = (n for n in dict.fromkeys([*had_part, *others[cut:], *others[:cut]]) if n in state.endpoints)
-    order = sorted(known, key=lambda number: last_sign(state, number))
-    zones: dict[str | None, list[Endpoint]] = {state.endpoints[n].zone: [] for n in order[:1]}
-    zones.setdefault(state.settings.zone, [])
-    for endpoint in (state.endpoints[n] for n in order):
+    involved = [attempt.endpoint_id for attempt in reversed(request.attempts)]
+    if request.reservation_endpoint_id is not None:
+        involved.append(request.reservation_endpoint_id)
+    for number in dict.fromkeys([*involved, *others[cut:], *others[:cut]]):
+        if number in state.endpoints:
+            yield number
+
+
+def _by_turns_of_zones(endpoints: list[Endpoint], own_zone: str | None) -> Iterable[Endpoint | None]:
+    """Return endpoints with their zones taking turns; None stands where a zone has no more.
+
+    The zone of the first endpoint begins, and the router's own comes second."""
+    zones: dict[str | None, list[Endpoint]] = {endpoint.zone: [] for endpoint in endpoints[:1]}
+    zones.setdefault(own_zone, [])
+    for endpoint in endpoints:
         zones.setdefault(endpoint.zone, []).append(endpoint)
-    turns = chain.from_iterable(zip_longest(*zones.values()))
-    unlisted = (each.endpoint for each in request.attempts if each.server not in state.endpoints)
-    return tuple(dict.fromkeys(each for each in (*turns, *unlisted) if each is not None))
+    return chain.from_iterable(zip_longest(*zones.values()))
 
 
-def last_sign(state: RouterState, number: int) -> tuple[int, timedelta]:
-    """Give a sort key: servers that answered last come first, then unknown ones, then those that failed."""
-    if number not in state.signs:
-        return 1, timedelta()
-    well, at = state.signs[number]
-    return (0, -at) if well else (2, at)
+def _contact_key(contact: Contact | None) -> tuple[ContactRank, timedelta]:
+    """Return a sort key: latest answer first, then endpoints without contact, then latest failure last."""
+    if contact is None:
+        return ContactRank.UNKNOWN, timedelta()
+    if contact.answered:
+        return ContactRank.ANSWERED, -contact.at
+    return ContactRank.FAILED, contact.at
--- a/llm_router/lifecycle/releases.py
+++ b/llm_router/lifecycle/releases.py
@@ -1,4 +1,4 @@
-"""Begins the releases of held state when they are due, and asks on until an endpoint has taken one."""
+"""Make the release of what is held for a request when it is due, until an endpoint acknowledges it."""
 
 from __future__ import annotations
 
@@ -9,77 +9,85 @@
 from llm_router.lifecycle.kv_lease import LeaseState
 from llm_router.lifecycle.release_calls import ReleaseCall, ReleaseCalls
 from llm_router.lifecycle.release_order import release_order
-from llm_router.lifecycle.state import Request, RouterState, abandon
+from llm_router.lifecycle.request import Request
+from llm_router.lifecycle.state import RouterState
 from llm_router.routing.events import AttemptStatus
 
 
-def go_on_releasing(state: RouterState, now: timedelta, request: Request) -> Iterator[effects.Effect]:
-    """Begin a release that is due, or ask further endpoints for one that is out, if releases may go out."""
-    held = request.held
+def advance_release(state: RouterState, now: timedelta, request: Request) -> Iterator[effects.Effect]:
+    """Start a release that is due, or the next round of calls of one, if releases may be made."""
     if not request.may_release(now):
         return
-    if held.calls is None and held.release_at is not None and now >= held.release_at:
-        if held.holding is LeaseState.READY and request.decoding:
-            held.press(ReleaseCalls(now))
-        else:
-            yield from abandon_unsent(request)
-            held.begin_release(ReleaseCalls(now))
-    if (calls := held.calls) is not None and now >= calls.next_try:
-        if calls.exhausted:
-            yield effects.LogEvent(
-                "release_unacknowledged",
-                {"request": request.asked.request_id, "tries": calls.tries},
-                rate_limited=True,
-            )
-            held.release_unheard()
-            yield effects.CancelReleases(request.asked.request_id)
-        else:
-            order = release_order(state, request)
-            yield from begin_calls(request, calls.try_again(now, order, request.release_calls))
-    yield from wake_for_release(request)
-
-
-def abandon_unsent(request: Request) -> Iterator[effects.Effect]:
-    """Give up the attempts that were to take a state, whose connections have not come up in time."""
-    if request.held.holding is LeaseState.READY:
-        for index in range(len(request.attempts)):
-            yield from abandon(request, index, AttemptStatus.CONNECT_FAILED)
-
-
-def begin_calls(request: Request, calls: dict[int, ReleaseCall]) -> Iterator[effects.Effect]:
-    """Make release calls."""
-    request.release_calls += len(calls)
+    lease = request.lease
+    if lease.release_calls is None and lease.release_at is not None and now >= lease.release_at:
+        yield from _start_release(now, request)
+    if lease.release_calls is not None and now >= lease.release_calls.next_round_at:
+        yield from _start_round(state, now, request, lease.release_calls)
+    yield from schedule_release(request)
+
+
+def _start_release(now: timedelta, request: Request) -> Iterator[effects.Effect]:
+    """Start a release; attempts to claim the KV state that are still connecting are too late for it."""
+    lease = request.lease
+    if lease.state is LeaseState.AVAILABLE and request.has_running_decode:
+        lease.release_started_during_decode(ReleaseCalls(now))
+        return
+    if lease.state is LeaseState.AVAILABLE:
+        yield from request.abort_all_attempts(AttemptStatus.CONNECT_FAILED)
+    lease.release_started(ReleaseCalls(now))
+
+
+def _start_round(
+    state: RouterState, now: timedelta, request: Request, calls: ReleaseCalls
+) -> Iterator[effects.Effect]:
+    """Make the next round of calls, or give the release up after the last one."""
+    if not calls.is_exhausted:
+        order = release_order(state, request)
+        yield from _release_effects(request, calls.start_round(now, order, request.release_call_count))
+        return
+    fields: dict[str, object] = {"request": request.request_id, "tries": calls.rounds}
+    yield effects.LogEvent("release_unacknowledged", fields, rate_limited=True)
+    request.lease.release_unacknowledged()
+    yield effects.CancelReleases(request.request_id)
+
+
+def _release_effects(request: Request, calls: dict[int, ReleaseCall]) -> Iterator[effects.Effect]:
+    """Yield the effects that make release calls."""
+    request.release_call_count += len(calls)
     for number, call in calls.items():
-        yield effects.Release(request.asked.request_id, request.taken, number, call.endpoint)
+        yield effects.Release(request.request_id, request.accepted_at, number, call.endpoint)
 
 
-def stop_releases(request: Request) -> Iterator[effects.Effect]:
-    """Give up the calls of a release that is no longer asked for."""
-    if request.release_calls and request.held.calls is None:
-        yield effects.CancelReleases(request.asked.request_id)
+def cancel_release_calls(request: Request) -> Iterator[effects.Effect]:
+    """Cancel the calls of a release that is no longer being made."""
+    if request.release_call_count and request.lease.release_calls is None:
+        yield effects.CancelReleases(request.request_id)
 
 
-def wake_for_release(request: Request) -> Iterator[effects.Effect]:
-    """Ask for a timer at the next release or release call, unless one comes earlier."""
-    held = request.held
-    at = held.release_at if held.calls is None else held.calls.next_try
-    if at is not None and (request.woken_at is None or at < request.woken_at):
-        request.woken_at = at
-        yield effects.ScheduleTimer(at, events.ReleaseDue(request.asked.request_id, request.taken))
+def schedule_release(request: Request) -> Iterator[effects.Effect]:
+    """Set a timer for the next release or round of calls, unless one is set that fires no later."""
+    lease = request.lease
+    fires_at = lease.release_at if lease.release_calls is None else lease.release_calls.next_round_at
+    if fires_at is None:
+        return
+    if request.release_timer_at is None or fires_at < request.release_timer_at:
+        request.release_timer_at = fires_at
+        yield effects.ScheduleTimer(fires_at, events.ReleaseDue(request.request_id, request.accepted_at))
 
 
-def note_answer(
+def record_release_answer(
     state: RouterState, now: timedelta, request: Request, event: events.ReleaseCallEnded
 ) -> Iterator[effects.Effect]:
-    """Take in what came of a release call; where the endpoint did not take it, the next is asked."""
-    calls = request.held.calls
-    call = None if calls is None else calls.out.pop(event.call_number, None)
-    if call is None:
+    """Record what came of a release call; where the endpoint did not acknowledge it, call the next one."""
+    calls = request.lease.release_calls
+    call = None if calls is None else calls.running.pop(event.call_number, None)
+    if calls is None or call is None:
         return
-    if (server := state.numbers.get(call.endpoint.name)) in state.endpoints:
-        state.signs[server] = event.acknowledged, now
+    number = state.numbers.get(call.endpoint.name)
+    if number is not None and number in state.endpoints:
+        state.endpoint_table.record_contact(number, now, answered=event.acknowledged)
     if event.acknowledged:
-        request.held.release_heard(call.begun)
-        yield from stop_releases(request)
+        request.lease.release_acknowledged(call.started_at)
+        yield from cancel_release_calls(request)
     elif request.may_release(now):
-        yield from begin_calls(request, calls.ask_next(now, request.release_calls))
+        yield from _release_effects(request, calls.follow_up(now, request.release_call_count))
--- /dev/null
+++ b/llm_router/lifecycle/request_completion.py
@@ -0,0 +1,30 @@
+"""Remove a request once nothing is owed for it."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from datetime import timedelta
+
+from llm_router.lifecycle import effects
+from llm_router.lifecycle.kv_lease import LeaseState
+from llm_router.lifecycle.releases import advance_release
+from llm_router.lifecycle.state import RouterState
+
+
+def complete_request(state: RouterState, now: timedelta, request_id: str) -> Iterator[effects.Effect]:
+    """Remove a request that is closed, has no running attempt and holds nothing; go on releasing till then.
+
+    Every handler of an event about a request ends with this."""
+    request = state.requests.get(request_id)
+    if request is None:
+        return
+    if request.only_lease_remains and request.lease.state is LeaseState.AVAILABLE:
+        request.lease.abandon(now)
+    yield from advance_release(state, now, request)
+    if not request.only_lease_remains:
+        return
+    idempotency_key = request.received.idempotency_key
+    if idempotency_key:
+        state.idempotency_registry.end(idempotency_key, now, request.may_have_run)
+    if request.lease.is_finished:
+        del state.requests[request_id]
--- /dev/null
+++ b/llm_router/lifecycle/request_events.py
@@ -0,0 +1,106 @@
+"""Handlers of the events that begin or end a request."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from datetime import timedelta
+
+from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.final_answers import fail_request
+from llm_router.lifecycle.kv_lease import KvLease
+from llm_router.lifecycle.policy_actions import consult_policy
+from llm_router.lifecycle.request import Request, RequestChange
+from llm_router.lifecycle.request_completion import complete_request
+from llm_router.lifecycle.state import RouterState
+from llm_router.lifecycle.units import to_nanoseconds, to_timedelta
+from llm_router.routing import actions as routing_actions
+from llm_router.routing import events as routing_events
+from llm_router.routing.actions import AnswerReason
+from llm_router.routing.events import AttemptStatus
+
+RETRY_AFTER = timedelta(seconds=1)  # advised where an id or a registry entry must first become free
+BACKSTOP_DELAY = timedelta(milliseconds=5)  # after the deadline, which the policy sees to by itself
+
+
+def on_request_received(
+    state: RouterState, now: timedelta, event: events.RequestReceived
+) -> Iterator[effects.Effect]:
+    """Accept a request, unless its id is in use or may have run."""
+    refusal = _refusal(state, now, event)
+    if refusal is not None:
+        yield refusal
+        return
+    if event.idempotency_key:
+        state.idempotency_registry.start(event.idempotency_key)
+    state.requests[event.request_id] = _accepted_request(state, now, event)
+    state.metrics.add("received")
+    yield effects.ScheduleTimer(
+        now + event.time_remaining + BACKSTOP_DELAY, events.RequestDeadline(event.request_id, now)
+    )
+    yield from consult_policy(state, now, _policy_event(event))
+    yield from complete_request(state, now, event.request_id)
+
+
+def _refusal(
+    state: RouterState, now: timedelta, event: events.RequestReceived
+) -> effects.SendRejection | effects.SendFailure | None:
+    """Return the answer to a request that cannot be accepted, None if it can."""
+    existing = state.requests.get(event.request_id)
+    if existing is not None and existing.only_lease_remains:
+        # The releases of what the earlier request left would take the KV state of this one.
+        reason = "what is held under its id is still being released"
+        return effects.SendRejection(event.request_id, RETRY_AFTER, reason)
+    key, registry = event.idempotency_key, state.idempotency_registry
+    if existing is not None or (key and registry.conflicts(key, now)):
+        return effects.SendFailure(event.request_id, "its id is running or may have run", id_conflict=True)
+    if key and registry.is_full:
+        return effects.SendRejection(event.request_id, RETRY_AFTER, "the ledger of ids is full")
+    return None
+
+
+def _accepted_request(state: RouterState, now: timedelta, event: events.RequestReceived) -> Request:
+    """Return the state of a request that is accepted now."""
+    release_timeout = state.settings.release_timeout
+    lease = KvLease(None if release_timeout is None else to_timedelta(release_timeout))
+    return Request(event, now, now + event.time_remaining, lease)
+
+
+def _policy_event(event: events.RequestReceived) -> routing_events.RequestReceived:
+    """Return the policy's event of a received request."""
+    return routing_events.RequestReceived(
+        request_id=event.request_id,
+        class_name=event.class_name,
+        prompt_tokens=event.prompt_tokens,
+        max_output_tokens=event.max_output_tokens,
+        time_remaining=to_nanoseconds(event.time_remaining),
+        session=event.session,
+        prefix=event.prefix,
+        prefix_tokens=event.prefix_tokens,
+        tenant=event.tenant,
+        is_retry=event.is_retry,
+        resumed=event.resumed,
+    )
+
+
+def on_client_disconnected(
+    state: RouterState, now: timedelta, event: events.ClientDisconnected
+) -> Iterator[effects.Effect]:
+    """Close a request whose client has gone, and abort its attempts, even one that is responding."""
+    request = state.requests.get(event.request_id)
+    if request is None:
+        return
+    was_closed = request.is_closed
+    request.change(RequestChange.CLOSED)
+    if not was_closed:
+        yield from consult_policy(state, now, routing_events.ClientDisconnected(event.request_id))
+    yield from request.abort_all_attempts(AttemptStatus.CANCELLED)
+    yield from complete_request(state, now, event.request_id)
+
+
+def fail_overdue_request(state: RouterState, now: timedelta, request: Request) -> Iterator[effects.Effect]:
+    """Abort all attempts of a request whose time is over and fail it.
+
+    This is the backstop for a policy that forgets a request, or may not cancel an attempt that hangs."""
+    yield from request.abort_all_attempts(AttemptStatus.TIMEOUT)
+    failure = routing_actions.FailRequest(request.request_id, AnswerReason.DEADLINE_EXCEEDED)
+    yield from fail_request(state, now, failure)
--- /dev/null
+++ b/llm_router/lifecycle/reservation_events.py
@@ -0,0 +1,80 @@
+"""Handlers of the events about calls that reserve or release capacity at endpoints."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from datetime import timedelta
+
+from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.attempt import Arrival
+from llm_router.lifecycle.events import ReservationOutcome
+from llm_router.lifecycle.policy_actions import consult_policy
+from llm_router.lifecycle.releases import record_release_answer
+from llm_router.lifecycle.request import Request
+from llm_router.lifecycle.request_completion import complete_request
+from llm_router.lifecycle.send_guard import reservation_denial
+from llm_router.lifecycle.state import RouterState
+from llm_router.routing import events as routing_events
+
+ARRIVAL_GRACE = timedelta(
+    milliseconds=20
+)  # for a prefill's answer, once a decode endpoint did not know of it
+RESERVATION_MADE = {  # whether a reservation was made, where that is certain: only then the policy learns it
+    ReservationOutcome.RESERVED: True,
+    ReservationOutcome.REJECTED: False,
+}
+
+
+def on_reservation_ended(
+    state: RouterState, now: timedelta, event: events.ReservationEnded
+) -> Iterator[effects.Effect]:
+    """Report a reservation to the policy while its prefill runs; one that comes later is released."""
+    request = state.requests.get(event.request_id)
+    if request is None:
+        return
+    request.lease.reservation_ended(now, event.outcome)
+    state.metrics.add(event.outcome.value)
+    attempt = request.attempts[event.attempt]
+    if event.outcome in RESERVATION_MADE:
+        attempt.arrival = Arrival.ARRIVED
+    elif event.outcome is ReservationOutcome.UNKNOWN:
+        yield from _check_arrival(state, now, request, event.attempt)
+    if event.outcome in RESERVATION_MADE and attempt.is_running:
+        made = RESERVATION_MADE[event.outcome]
+        result = routing_events.ReservationResult(event.request_id, event.attempt, attempt.endpoint_id, made)
+        yield from consult_policy(state, now, result)
+    yield from complete_request(state, now, event.request_id)
+
+
+def _check_arrival(
+    state: RouterState, now: timedelta, request: Request, index: int
+) -> Iterator[effects.Effect]:
+    """Follow up a prefill of which a decode endpoint did not know when it was to make a reservation.
+
+    The reservation call may have overtaken the prefill, so it is made once more. The second time, the
+    prefill counts as missing unless it is answered within a grace time."""
+    attempt = request.attempts[index]
+    if not attempt.is_running or attempt.arrival.is_settled:
+        return
+    if attempt.arrival is Arrival.DOUBTED:
+        arrival_timeout = events.ArrivalDue(request.request_id, request.accepted_at, index)
+        yield effects.ScheduleTimer(now + ARRIVAL_GRACE, arrival_timeout)
+        return
+    if request.reservation_endpoint_id is None:
+        return
+    endpoint = state.endpoints.get(request.reservation_endpoint_id)
+    if endpoint is None or reservation_denial(state, request, index, endpoint.name) is not None:
+        return
+    attempt.arrival = Arrival.DOUBTED
+    request.lease.reservation_sent()
+    yield effects.Reserve(request.request_id, index, endpoint)
+
+
+def on_release_call_ended(
+    state: RouterState, now: timedelta, event: events.ReleaseCallEnded
+) -> Iterator[effects.Effect]:
+    """Record what came of a release call, unless it was for an earlier request with the same id."""
+    request = state.requests.get(event.request_id)
+    if request is not None and request.accepted_at == event.accepted_at:
+        yield from record_release_answer(state, now, request, event)
+        yield from complete_request(state, now, event.request_id)
--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -1,67 +1,103 @@
-"""When each endpoint's present start counts as begun, on the reducer's clock.
+"""From when an endpoint's present start counts, on the reducer's clock.
 
-Discovery tells starts by the wall clock of another machine. A slow start is a span of real time, so a told
-start is believed only as far as it fits what could be known of it here."""
+Discovery reports start times by the wall clock of another machine. Slow start is a span of real time, so a
+reported start is believed only as far as it fits what could have been known of it here."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from datetime import timedelta
+from math import isnan
 
-LONG_AGO = timedelta()  # as discovery tells it
-LATEST = timedelta(days=100_000)  # any told start beyond this is no time at all, and counts as now
-REMEMBERED = timedelta(minutes=10)  # for how long an endpoint that is listed no more keeps its start
+from llm_router.lifecycle.endpoint import (
+    LONG_AGO as LONG_AGO,
+)  # re-exported for the parsers of endpoint lists
+
+LATEST = timedelta(days=100_000)  # a reported start beyond this is no time at all, and counts as now
+RETENTION = timedelta(minutes=10)  # for how long an endpoint that is no longer listed keeps its start
 
 
 @dataclass(slots=True, frozen=True)
-class Start:
-    """A start as it was told, and as it counts."""
+class StartTime:
+    """A start as discovery reported it, and the clock time from which it counts."""
 
-    told: timedelta
-    counted: timedelta
+    reported: timedelta
+    effective: timedelta
 
 
-@dataclass(slots=True)
-class StartTimes:
-    """The starts of the endpoints that are listed, and for a while of those that were."""
+@dataclass(slots=True, frozen=True)
+class RemovedStartTime:
+    """The start of an endpoint that is no longer listed."""
 
-    late_by: timedelta = timedelta()  # a start so long before the last answer is believed
-    counted: dict[str, Start] = field(default_factory=dict)
-    gone: dict[str, tuple[Start, timedelta]] = field(default_factory=dict)  # with when; the oldest first
+    start: StartTime
+    removed_at: timedelta
 
-    def count(self, name: str, told: timedelta, now: timedelta, unheard: timedelta | None) -> timedelta:
-        """Give the clock time from which a told start counts.
 
-        `unheard` is how long before now the last answer of discovery came, None if this is the first: what
-        was not in that answer started later, or little before it where lists come late. One that is told to
-        lie further back counts from that answer. A start that was counted before counts as it did."""
-        if told == LONG_AGO:
-            self.counted.pop(name, None)
+@dataclass(slots=True)
+class StartTimes:
+    """The starts of the listed endpoints, kept a while longer for those that were listed."""
+
+    max_list_delay: timedelta = timedelta()  # a start so long before the last answer is still believed
+    listed: dict[str, StartTime] = field(default_factory=dict)
+    removed: dict[str, RemovedStartTime] = field(default_factory=dict)  # oldest first
+
+    def effective(
+        self, name: str, reported: timedelta, now: timedelta, since_last_answer: timedelta | None
+    ) -> timedelta:
+        """Record a reported start, and return the clock time from which it counts.
+
+        `since_last_answer` is how long before now the last answer of discovery came, None if this is the
+        first. What was not in that answer started later, or a little before it where lists come late: a
+        start that is reported further back counts from that answer. A start that is reported once more
+        counts as it did."""
+        if reported == LONG_AGO:
+            self.listed.pop(name, None)
             return LONG_AGO
-        start = self.counted.get(name) or self.gone.pop(name, (None, now))[0]
-        if start is None or start.told != told:
-            believed = told
-            if unheard is not None and told < now - unheard - self.late_by:
-                believed = now - unheard
-            if start is not None:
-                believed = max(believed, start.counted + timedelta.resolution)
-            start = Start(told, min(believed, now))
-        self.counted[name] = start
-        return start.counted
-
-    def forget(self, name: str, now: timedelta) -> None:
-        """Note that an endpoint is listed no more; it may come back with the same start."""
-        if (start := self.counted.pop(name, None)) is not None:
-            self.gone[name] = start, now
-        while self.gone and now - next(iter(self.gone.values()))[1] > REMEMBERED:
-            del self.gone[next(iter(self.gone))]
-
-
-def parse_start_time(since_ms: object) -> timedelta:
-    """Translate a told start, in milliseconds of Unix time, 0 for long ago.
-
-    What is no number may be anything, so it counts as a start of just now; so does what lies ahead."""
-    if isinstance(since_ms, bool) or not isinstance(since_ms, int | float) or since_ms != since_ms:
+        start = self.listed.get(name) or self._restore(name)
+        if start is None or start.reported != reported:
+            start = StartTime(reported, self._bounded(reported, now, since_last_answer, start))
+        self.listed[name] = start
+        return start.effective
+
+    def remove(self, name: str, now: timedelta) -> None:
+        """Record that an endpoint is no longer listed; it may come back with the same start."""
+        start = self.listed.pop(name, None)
+        if start is not None:
+            self.removed[name] = RemovedStartTime(start, now)
+        while self.removed:
+            oldest = next(iter(self.removed))
+            if now - self.removed[oldest].removed_at <= RETENTION:
+                break
+            del self.removed[oldest]
+
+    def _restore(self, name: str) -> StartTime | None:
+        """Take the start of an endpoint that is listed anew from those that were removed."""
+        removed = self.removed.pop(name, None)
+        return None if removed is None else removed.start
+
+    def _bounded(
+        self,
+        reported: timedelta,
+        now: timedelta,
+        since_last_answer: timedelta | None,
+        previous: StartTime | None,
+    ) -> timedelta:
+        """Return a reported start within what can be true: not in the future, not before the previous one."""
+        believed = reported
+        if since_last_answer is not None and reported < now - since_last_answer - self.max_list_delay:
+            believed = now - since_last_answer
+        if previous is not None:
+            believed = max(believed, previous.effective + timedelta.resolution)
+        return min(believed, now)
+
+
+def parse_start_time(unix_milliseconds: object) -> timedelta:
+    """Return a reported start, in milliseconds of Unix time with 0 for long ago, as a `timedelta`.
+
+    What is not a number may mean anything, so it counts as a start of just now; so does a future time."""
+    if isinstance(unix_milliseconds, bool) or not isinstance(unix_milliseconds, int | float):
+        return LATEST
+    if isinstance(unix_milliseconds, float) and isnan(unix_milliseconds):
         return LATEST
-    latest_ms = LATEST // timedelta(milliseconds=1)
-    return timedelta(milliseconds=min(max(since_ms, 0), latest_ms))
+    latest = LATEST // timedelta(milliseconds=1)
+    return timedelta(milliseconds=min(max(unix_milliseconds, 0), latest))
--- a/llm_router/lifecycle/units.py
+++ b/llm_router/lifecycle/units.py
@@ -1,17 +1,18 @@
-"""The one place where spans of the program become the decision module's integer nanoseconds and back."""
+"""Convert between the lifecycle's `timedelta` and the policy's integer nanoseconds; nothing else does."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
 MICROSECOND = timedelta(microseconds=1)
+NANOSECONDS_PER_MICROSECOND = 1000
 
 
-def to_ns(span: timedelta) -> int:
-    """Give a span or clock time as integer nanoseconds."""
-    return span // MICROSECOND * 1000
+def to_nanoseconds(span: timedelta) -> int:
+    """Return a span or clock time as integer nanoseconds."""
+    return span // MICROSECOND * NANOSECONDS_PER_MICROSECOND
 
 
-def to_span(ns: int) -> timedelta:
-    """Give integer nanoseconds as a span, rounded up so that a timer never fires early."""
-    return timedelta(microseconds=-(-ns // 1000))
+def to_timedelta(nanoseconds: int) -> timedelta:
+    """Return integer nanoseconds as a `timedelta`, rounded up so that a timer never fires early."""
+    return timedelta(microseconds=-(-nanoseconds // NANOSECONDS_PER_MICROSECOND))
--- /dev/null
+++ b/tests/lifecycle/conftest.py
@@ -0,0 +1,7 @@
+import pytest
+from reducer_harness import ReducerHarness
+
+
+@pytest.fixture
+def lifecycle():
+    return ReducerHarness()
--- a/tests/lifecycle/test_send_guard.py
+++ b/tests/lifecycle/test_send_guard.py
@@ -1,143 +1,149 @@
-"""The last look before an attempt is written: each rule forbids it alone, and a path round it is counted."""
+"""The last check before an attempt is written: each rule forbids it alone, and a way round it is counted."""
 
 import asyncio
 from dataclasses import replace
 from datetime import timedelta
 
 import pytest
-from reducer_harness import MS, SECOND, ReducerHarness, endpoint, start
+from reducer_harness import MILLISECOND, SECOND, ReducerHarness, endpoint, start
 from stand_ins import StandInServer, accept_release, hang, run
 
 from llm_router.lifecycle import effects, events
+from llm_router.lifecycle.attempt import Attempt, AttemptState
 from llm_router.lifecycle.events import ReservationOutcome
-from llm_router.lifecycle.send_guard import Denial, check_write
+from llm_router.lifecycle.request import RequestState
+from llm_router.lifecycle.send_guard import Denial, check_reserve, write_denial
 from llm_router.routing.events import AttemptStatus, EndpointStatus
 
 
 @pytest.fixture
-def core():
+def lifecycle():
     return ReducerHarness(max_attempts=2)
 
 
-def look(core, index=0, **changes):
-    request = core.state.requests.get("q")
-    deadline = changes.pop("deadline", core.now + SECOND)
-    return check_write(core.state, core.now, request, index, deadline, **changes)
+def denial_now(lifecycle, index=0, deadline=None, write_deadline=None):
+    request = lifecycle.state.requests.get("q")
+    deadline = lifecycle.now + SECOND if deadline is None else deadline
+    return write_denial(lifecycle.state, lifecycle.now, request, index, deadline, write_deadline)
 
 
-def second_attempt(core, cls, status):
-    """Play a first attempt to its end at a decode server, and give the request with a second one."""
-    core.submit(cls=cls)
-    core.feed(events.AttemptEnded("q", 0, AttemptStatus.PREFILLED), MS)
-    core.feed(events.AttemptEnded("q", 1, status), MS)
-    request = core.state.requests["q"]
-    request.closed = False
-    request.attempts.append(replace(request.attempts[1], sent=False, over=False, may_have_run=False))
+def request_with_another_attempt(lifecycle, class_name, status):
+    """End a decode attempt with a status, and return its request with another that is connecting."""
+    lifecycle.submit(class_name=class_name)
+    lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.PREFILLED), MILLISECOND)
+    lifecycle.feed(events.AttemptEnded("q", 1, status), MILLISECOND)
+    request = lifecycle.state.requests["q"]
+    request.state = RequestState.PENDING
+    request.attempts.append(replace(request.attempts[1], state=AttemptState.CONNECTING, status=None))
     return request
 
 
-def test_an_attempt_whose_reason_holds_may_be_written(core):
-    core.submit()
-    assert look(core) is None
+def test_an_attempt_that_is_still_needed_may_be_written(lifecycle):
+    lifecycle.submit()
+    assert denial_now(lifecycle) is None
 
 
-def test_nothing_is_written_for_a_client_that_left(core):
-    core.submit()
-    core.feed(events.ClientDisconnected("q"))
-    assert look(core) is Denial.CLIENT_GONE
+def test_nothing_is_written_for_a_client_that_disconnected(lifecycle):
+    lifecycle.submit()
+    lifecycle.feed(events.ClientDisconnected("q"))
+    assert denial_now(lifecycle) is Denial.NOT_NEEDED
 
 
-def test_nothing_is_written_for_a_request_that_is_forgotten(core):
-    assert look(core) is Denial.CLIENT_GONE
+def test_nothing_is_written_for_a_request_that_is_removed(lifecycle):
+    assert denial_now(lifecycle) is Denial.NOT_NEEDED
 
 
-def test_nothing_is_written_once_the_time_is_over(core):
-    core.submit()
-    assert look(core, deadline=core.now) is Denial.TIME_OVER
+def test_nothing_is_written_from_the_deadline_on(lifecycle):
+    lifecycle.submit()
+    assert denial_now(lifecycle, deadline=lifecycle.now) is Denial.DEADLINE_EXCEEDED
 
 
-def test_no_repeat_is_written_past_its_window(core):
-    core.submit()
-    assert look(core, not_after=core.now) is Denial.REPEAT_WINDOW_OVER
-    assert look(core, not_after=core.now + MS) is None
+def test_nothing_is_written_after_the_deduplication_window(lifecycle):
+    lifecycle.submit()
+    denial = denial_now(lifecycle, write_deadline=lifecycle.now)
+    assert denial is Denial.DEDUPLICATION_WINDOW_OVER
+    assert denial_now(lifecycle, write_deadline=lifecycle.now + MILLISECOND) is None
 
 
-@pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_nothing_is_written_to_an_endpoint_that_drains_or_is_gone(core, state):
-    core.submit()
-    core.feed(events.EndpointListReceived((endpoint("r", "reader", state),), False))
-    assert look(core) is Denial.ENDPOINT_DRAINS
+@pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+def test_nothing_is_written_to_an_endpoint_that_drains_or_is_removed(lifecycle, status):
+    lifecycle.submit()
+    lifecycle.feed(events.EndpointListReceived((endpoint("r", "prefill", status),), False))
+    assert denial_now(lifecycle) is Denial.ENDPOINT_NOT_READY
 
 
-def test_no_more_attempts_are_written_than_the_settings_allow(core):
-    request = second_attempt(core, "safe", AttemptStatus.ERROR)
-    assert core.state.settings.max_attempts == 2 and len(request.attempts) == 3
-    assert look(core, index=2) is Denial.ATTEMPTS_USED
+def test_no_more_attempts_are_written_than_the_settings_allow(lifecycle):
+    request = request_with_another_attempt(lifecycle, "safe", AttemptStatus.ERROR)
+    assert lifecycle.state.settings.max_attempts == 2 and len(request.attempts) == 3
+    assert denial_now(lifecycle, index=2) is Denial.ATTEMPTS_EXHAUSTED
 
 
-def test_no_second_copy_is_written_while_an_attempt_is_out():
-    core = ReducerHarness()
-    request = second_attempt(core, "safe", AttemptStatus.ERROR)
-    request.attempts[1].over = False
-    assert look(core, index=2) is Denial.COPY_OUT
+def test_no_hedged_request_is_written_while_an_attempt_runs():
+    lifecycle = ReducerHarness()
+    request = request_with_another_attempt(lifecycle, "safe", AttemptStatus.ERROR)
+    request.attempts[1].state, request.attempts[1].status = AttemptState.WRITTEN, None
+    assert denial_now(lifecycle, index=2) is Denial.ANOTHER_ATTEMPT_RUNNING
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT])
-def test_what_may_have_run_is_written_again_only_where_its_class_allows(status):
-    for cls, denial in (("once", Denial.MAY_HAVE_RUN), ("safe", None)):
-        core = ReducerHarness()
-        second_attempt(core, cls, status)
-        assert look(core, index=2) is denial
-
-
-def test_what_is_written_against_a_rule_is_counted_and_told(core):
-    core.submit()
-    core.now += timedelta(seconds=9)
-    core.feed(events.AttemptWritten("q", 0))
-    (said,) = [say for say in core.effects_of(effects.LogEvent) if say.name == "invariant_violated"]
-    assert said.fields["what"] == "time_over" and said.fields["request"] == "q"
-    assert core.state.violations == {"written_against_rule": 1}
-
-
-def test_a_final_answer_names_its_reason_and_the_attempts_before_it(core):
-    core.submit()
-    core.feed(events.AttemptEnded("q", 0, AttemptStatus.ERROR), MS)
-    core.feed(events.AttemptEnded("q", 1, AttemptStatus.ERROR), MS)
-    said = [say for say in core.effects_of(effects.LogEvent) if say.name == "request_rejected"]
-    assert said and said[0].fields["attempts"] == ["r error", "r error"]
-    assert said[0].fields["reason"] == "attempts_exhausted"
-
-
-def test_a_decode_server_that_drains_is_not_asked_a_second_time_for_a_place(core):
-    core.submit()
-    (reserve,) = core.effects_of(effects.Reserve)
-    core.feed(
-        events.EndpointListReceived((replace(reserve.endpoint, status=EndpointStatus.DRAINING),), False)
-    )
-    core.feed(events.ReservationEnded("q", 0, ReservationOutcome.UNKNOWN), 300 * MS)
-    assert not core.effects_of(effects.Reserve)
-
-
-def test_a_reservation_is_looked_at_once_more_when_its_connection_is_up():
+@pytest.mark.parametrize(("class_name", "denial"), [("once", Denial.MAY_HAVE_RUN), ("safe", None)])
+def test_what_may_have_run_is_written_once_more_only_where_its_class_allows(status, class_name, denial):
+    lifecycle = ReducerHarness()
+    request_with_another_attempt(lifecycle, class_name, status)
+    assert denial_now(lifecycle, index=2) is denial
+
+
+def test_an_attempt_written_against_a_rule_is_counted_and_logged(lifecycle):
+    lifecycle.submit()
+    lifecycle.now += timedelta(seconds=9)
+    lifecycle.feed(events.AttemptWritten("q", 0))
+    (line,) = lifecycle.log_events("invariant_violated")
+    assert line.fields["what"] == "time_over" and line.fields["request"] == "q"
+    assert lifecycle.state.violations == {"written_against_rule": 1}
+
+
+def test_a_final_answer_is_logged_with_its_reason_and_the_attempts_before_it(lifecycle):
+    lifecycle.submit()
+    lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.ERROR), MILLISECOND)
+    lifecycle.feed(events.AttemptEnded("q", 1, AttemptStatus.ERROR), MILLISECOND)
+    lines = lifecycle.log_events("request_rejected")
+    assert lines and lines[0].fields["attempts"] == ["r error", "r error"]
+    assert lines[0].fields["reason"] == "attempts_exhausted"
+
+
+def test_no_second_reservation_call_is_made_to_a_decode_endpoint_that_drains(lifecycle):
+    lifecycle.submit()
+    (reserve,) = lifecycle.effects_of(effects.Reserve)
+    draining = replace(reserve.endpoint, status=EndpointStatus.DRAINING)
+    lifecycle.feed(events.EndpointListReceived((draining,), False))
+    lifecycle.feed(events.ReservationEnded("q", 0, ReservationOutcome.UNKNOWN), 300 * MILLISECOND)
+    assert not lifecycle.effects_of(effects.Reserve)
+
+
+def test_a_reservation_is_checked_once_more_when_its_connection_is_up():
     async def test():
-        async with StandInServer(accept_release) as reader, StandInServer(hang) as writer:
-            runtime = start(reader, writer)
+        async with StandInServer(accept_release) as prefill, StandInServer(hang) as decode:
+            runtime = start(prefill, decode)
             runtime.proxied_requests["q"] = None
-            asked = events.RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s")
-            runtime.state.policy.handle = lambda now, event: []
-            runtime.feed(asked)
+            received = events.RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s")
+            runtime.state.policy.handle = lambda *_: []
+            runtime.feed(received)
+            prefill_attempt = Attempt(runtime.state.numbers["r1"], is_prefill=True, opened_at=SECOND)
+            runtime.state.requests["q"].attempts.append(prefill_attempt)
             (drained,) = [each for each in runtime.state.endpoints.values() if each.kind == "decode"]
             runtime.state.endpoints[runtime.state.numbers[drained.name]] = replace(
-                drained, state=EndpointStatus.DRAINING
+                drained, status=EndpointStatus.DRAINING
             )
-            sent, told = asyncio.Event(), []
-            sent.set()
-            runtime.held_calls.feed = told.append
-            reading = asyncio.ensure_future(asyncio.sleep(1))
-            await runtime.held_calls.reserve(effects.Reserve("q", 0, drained), sent, lambda: reading)
-            assert [each.outcome for each in told] == [ReservationOutcome.REJECTED]
-            assert not writer.calls
-            reading.cancel()
+            prefill_written, ended = asyncio.Event(), []
+            prefill_written.set()
+            runtime.held_calls.feed = ended.append
+            prefilling = asyncio.ensure_future(asyncio.sleep(1))
+            reserve = effects.Reserve("q", 0, drained)
+            assert check_reserve(runtime.state, reserve) is Denial.ENDPOINT_NOT_READY
+            await runtime.held_calls.reserve(reserve, prefill_written, lambda: prefilling)
+            assert [each.outcome for each in ended] == [ReservationOutcome.REJECTED]
+            assert not decode.calls
+            prefilling.cancel()
             await runtime.pool.close()
 
     run(test())
--- a/tests/support/kv_lease_model.py
+++ b/tests/support/kv_lease_model.py
@@ -1,4 +1,4 @@
-"""A model of endpoints, network and clock around the reducer, which judges the rule on held state by itself.
+"""A model of endpoints, network and clock around the reducer, which checks the release time by itself.
 
 All times are whole milliseconds of a clock of its own. What endpoints hold follows the protocol page; the
 network has a delay of its own for each endpoint, so that calls and closes overtake one another."""
@@ -22,54 +22,61 @@
 from llm_router.routing.policy import RoutingPolicy
 from llm_router.routing.settings import Settings
 
-SLACK = 300  # that state may be held beyond the release time
-UNKNOWN_AFTER = 300  # a reservation is answered so late where no read is out
-CONNECT_TIMEOUT, RESERVATION_TIMEOUT, RELEASE_TIMEOUT = 250, 1000, 2000
-ACKNOWLEDGED_BY = 120  # what the other machine has not acknowledged by then is told as missing
-RELEASE_FIRST = 100  # an attempt may wait so long for the release of what an earlier one left
+MILLISECOND = timedelta(milliseconds=1)
+RELEASE_SLACK = 300  # that state may be held beyond the release time
+UNKNOWN_RESERVATION_DELAY = 300  # a reservation is answered so late where no prefill runs
+CONNECT_TIMEOUT = 250
+RESERVATION_TIMEOUT = 1000
+RELEASE_TIMEOUT = 2000
+ACKNOWLEDGEMENT_TIMEOUT = 120  # what the other machine has not acknowledged by then is reported
+RELEASE_WAIT = 100  # an attempt may wait so long for the release of what an earlier one left
+RESERVATION_DELAY = 2  # between two looks of whether a reservation call may be written
 START = 1_000_000
 
+AttemptKey = tuple[str, int]  # request id and attempt
+
 
 @dataclass(frozen=True)
-class Behaviour:
-    """How an endpoint and the way to it behave."""
+class EndpointBehaviour:
+    """How an endpoint and the network to it behave."""
 
     delay: int = 1  # each way
     connects: bool = True  # or connections never come up
-    work: int = 20  # of a read, or till the first token
-    fails: str = ""  # "reset", "error" or "full": how an attempt ends
-    reads_on: int = 0  # after a reset the read goes on for so long, and ends well
+    duration: int = 20  # of a prefill, or till the first token
+    failure: AttemptStatus | None = None  # how an attempt ends, None for well
+    run_on: int = 0  # after a reset the prefill runs on for so long, and ends well
     hangs: bool = False  # it takes what comes, and never answers an attempt
-    cut_off: bool = False  # what is written to a connection kept from before never comes to it
-    grants: bool = True  # a place
+    loses_writes: bool = False  # what is written to it never arrives
+    grants_reservations: bool = True
     answers_reservations: bool = True
 
 
 @dataclass
-class Work:
+class EndpointAttempt:
     """An attempt as its endpoint knows it."""
 
-    id: str
-    over: bool = False
+    request_id: str
+    endpoint_name: str
+    ended: bool = False
 
 
 @dataclass
-class Held:
-    """What endpoints hold for a request, and the attempts of it that are out there."""
+class HeldState:
+    """What endpoints hold for a request, and how many attempts of it they run."""
 
     items: set[str] = field(default_factory=set)
-    reading: int = 0
-    decoding: int = 0
-    since: int | None = None
+    prefills: int = 0
+    decodes: int = 0
+    since: int | None = None  # from when the release time counts, None while it does not
 
 
-class Model:
+class KvLeaseModel:
     """The reducer with all that is around it."""
 
-    def __init__(self, settings: Settings, behaviours: dict[tuple[str, str], Behaviour], seed: int) -> None:
+    def __init__(
+        self, settings: Settings, behaviours: dict[tuple[str, str], EndpointBehaviour], seed: int
+    ) -> None:
         self.handlers: dict[type, Callable] = {
-            effects.SendRejection: self.on_rejection,
-            effects.SendFailure: self.on_rejection,
             effects.ScheduleTimer: self.on_schedule_timer,
             effects.OpenAttempt: self.on_open_attempt,
             effects.AbortAttempt: self.on_abort_attempt,
@@ -80,15 +87,14 @@
         self.state = RouterState(
             settings, RoutingPolicy(settings, seed), IdempotencyRegistry(9, timedelta(minutes=10))
         )
-        self.now, self.queue, self.count = START, [], itertools.count()
+        self.now, self.queue, self.sequence = START, [], itertools.count()
         self.behaviours = {name: behaviour for (name, _), behaviour in behaviours.items()}
-        within = settings.release_timeout
-        self.limit = None if within is None else within // 1_000_000 + SLACK
-        self.held: defaultdict[str, Held] = defaultdict(Held)
-        self.breaks: list[str] = []
-        self.answers: list[str] = []
-        self.out: dict[tuple[str, int], Work | None] = {}  # attempts that the reducer awaits
-        self.releases: dict[str, set[int]] = {}  # release calls that the reducer awaits
+        release_timeout = settings.release_timeout
+        self.limit = None if release_timeout is None else release_timeout // 1_000_000 + RELEASE_SLACK
+        self.held: defaultdict[str, HeldState] = defaultdict(HeldState)
+        self.violations: list[str] = []
+        self.running: dict[AttemptKey, EndpointAttempt | None] = {}  # None until it is written
+        self.release_calls: dict[str, set[int]] = {}  # numbers of the running ones, by request
         zones = itertools.cycle("ab")
         entries = [
             Endpoint(name, f"{name}:1", next(zones), kind, 0, EndpointStatus.READY)
@@ -98,232 +104,231 @@
 
     # --- clock
 
-    def after(self, span: int, work: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (self.now + span, next(self.count), work))
+    def after(self, delay: int, action: Callable[[], None]) -> None:
+        heapq.heappush(self.queue, (self.now + delay, next(self.sequence), action))
 
     def run(self, until: int) -> None:
         """Let time pass."""
         while self.queue and self.queue[0][0] <= START + until:
-            at, _, work = heapq.heappop(self.queue)
+            at, _, action = heapq.heappop(self.queue)
             self.now = max(self.now, at)
-            work()
-        for id in list(self.held):
-            self.judge(id)
+            action()
+        for request_id in list(self.held):
+            self.check_release_time(request_id)
 
-    # --- the reducer's side
+    # --- the transport's side
 
     def feed(self, event: events.Event) -> None:
-        now = timedelta(milliseconds=self.now)
-        for effect in reduce(self.state, now, event):
+        for effect in reduce(self.state, self.now * MILLISECOND, event):
             if handler := self.handlers.get(type(effect)):
                 handler(effect)
 
-    def on_rejection(self, effect: effects.SendRejection) -> None:
-        self.answers.append(effect.request_id)
-
     def on_schedule_timer(self, effect: effects.ScheduleTimer) -> None:
-        at = -(-effect.at // timedelta(milliseconds=1))
+        at = -(-effect.at // MILLISECOND)
         self.after(max(0, at - self.now), lambda: self.feed(events.TimerFired(effect.timer)))
 
     def on_open_attempt(self, effect: effects.OpenAttempt) -> None:
-        key, how = (effect.request_id, effect.attempt), self.behaviours[effect.endpoint.name]
-        self.out[key] = None
-        if how.connects:
-            waits = RELEASE_FIRST if effect.awaits_release else 0
-            self.after(how.delay + waits, lambda: self.send(effect, how))
+        key, behaviour = (effect.request_id, effect.attempt), self.behaviours[effect.endpoint.name]
+        self.running[key] = None
+        if behaviour.connects:
+            wait = RELEASE_WAIT if effect.awaits_release else 0
+            self.after(behaviour.delay + wait, lambda: self.write_attempt(effect, behaviour))
             return
-        within = CONNECT_TIMEOUT
+        timeout = CONNECT_TIMEOUT
         if effect.connect_timeout is not None:
-            within = min(within, effect.connect_timeout // timedelta(milliseconds=1))
-        self.after(within, lambda: self.end(key, AttemptStatus.CONNECT_FAILED))
+            timeout = min(timeout, effect.connect_timeout // MILLISECOND)
+        self.after(timeout, lambda: self.end_attempt(key, AttemptStatus.CONNECT_FAILED))
 
-    def send(self, effect: effects.OpenAttempt, how: Behaviour) -> None:
-        """Write an attempt's request: its connection is up."""
+    def write_attempt(self, effect: effects.OpenAttempt, behaviour: EndpointBehaviour) -> None:
+        """Write an attempt: its connection is up."""
         key = effect.request_id, effect.attempt
-        if key not in self.out:
+        if key not in self.running:
             return
-        work = self.out[key] = Work(effect.request_id)
+        attempt = self.running[key] = EndpointAttempt(effect.request_id, effect.endpoint.name)
         self.feed(events.AttemptWritten(*key))
-        if how.cut_off:
-            work.over = True  # at the endpoint it never began
-            self.after(ACKNOWLEDGED_BY, lambda: self.feed(events.AttemptUnacknowledged(*key)))
+        if behaviour.loses_writes:
+            attempt.ended = True  # at the endpoint it never began
+            self.after(ACKNOWLEDGEMENT_TIMEOUT, lambda: self.feed(events.AttemptUnacknowledged(*key)))
             return
-        arrive = self.read if effect.is_prefill else self.decode
-        self.after(how.delay, lambda: arrive(key, work, effect.endpoint.name, how))
+        arrive = self.start_prefill if effect.is_prefill else self.start_decode
+        self.after(behaviour.delay, lambda: arrive(key, attempt, behaviour))
 
     def on_abort_attempt(self, effect: effects.AbortAttempt) -> None:
         key = effect.request_id, effect.attempt
-        if key not in self.out:
+        if key not in self.running:
             return
-        work = self.out[key]
+        attempt = self.running[key]
         name = self.state.requests[effect.request_id].attempts[effect.attempt].endpoint.name
-        if work is not None:
-            self.after(self.behaviours[name].delay, lambda: self.close(work, reads=name.startswith("r")))
-        self.after(0, lambda: self.end(key, AttemptStatus.CANCELLED))
+        if attempt is not None:
+            is_prefill = name.startswith("r")
+            self.after(self.behaviours[name].delay, lambda: self.close_attempt(attempt, is_prefill))
+        self.after(0, lambda: self.end_attempt(key, AttemptStatus.CANCELLED))
 
-    def end(self, key: tuple[str, int], status: AttemptStatus) -> None:
-        """Tell the reducer of an attempt's end, unless it has one already."""
-        if key in self.out:
-            del self.out[key]
-            self.feed(events.AttemptEnded(*key, status))
+    def end_attempt(self, key: AttemptKey, status: AttemptStatus, **details: bool) -> None:
+        """Feed an attempt's end to the reducer, unless it has one already."""
+        if key in self.running:
+            del self.running[key]
+            self.feed(events.AttemptEnded(*key, status, **details))
 
     def on_reserve(self, effect: effects.Reserve) -> None:
-        key, how = (effect.request_id, effect.attempt), self.behaviours[effect.endpoint.name]
-        if not how.connects:
-            self.after(0, lambda: self.feed(events.ReservationEnded(*key, ReservationOutcome.REJECTED)))
+        key, behaviour = (effect.request_id, effect.attempt), self.behaviours[effect.endpoint.name]
+        if not behaviour.connects:
+            self.after(0, lambda: self.end_reservation(key, ReservationOutcome.REJECTED))
             return
-        self.after(2, lambda: self.write_reservation(key, effect.endpoint.name, how))
+        self.after(RESERVATION_DELAY, lambda: self.write_reservation(key, effect.endpoint.name, behaviour))
+
+    def end_reservation(self, key: AttemptKey, outcome: ReservationOutcome) -> None:
+        self.feed(events.ReservationEnded(*key, outcome))
 
-    def write_reservation(self, key: tuple[str, int], name: str, how: Behaviour) -> None:
-        if key not in self.out:  # it is not written once the read is over
-            self.feed(events.ReservationEnded(*key, ReservationOutcome.REJECTED))
+    def write_reservation(self, key: AttemptKey, name: str, behaviour: EndpointBehaviour) -> None:
+        if key not in self.running:  # it is not written once the prefill has ended
+            self.end_reservation(key, ReservationOutcome.REJECTED)
             return
-        if self.out[key] is None:  # nor before the read is
-            self.after(2, lambda: self.write_reservation(key, name, how))
+        if self.running[key] is None:  # nor before the prefill is
+            self.after(RESERVATION_DELAY, lambda: self.write_reservation(key, name, behaviour))
             return
-        self.after(how.delay, lambda: self.reserve(key, name, how))
-        if not how.answers_reservations:
-            self.after(
-                RESERVATION_TIMEOUT,
-                lambda: self.feed(events.ReservationEnded(*key, ReservationOutcome.UNANSWERED)),
-            )
+        self.after(behaviour.delay, lambda: self.reserve(key, name, behaviour))
+        if not behaviour.answers_reservations:
+            unanswered = ReservationOutcome.UNANSWERED
+            self.after(RESERVATION_TIMEOUT, lambda: self.end_reservation(key, unanswered))
 
     def on_release(self, effect: effects.Release) -> None:
-        how = self.behaviours[effect.endpoint.name]
-        self.releases.setdefault(effect.request_id, set()).add(effect.call_number)
-        if how.connects:
-            self.after(how.delay, lambda: self.write_release(effect, how))
+        behaviour = self.behaviours[effect.endpoint.name]
+        self.release_calls.setdefault(effect.request_id, set()).add(effect.call_number)
+        if behaviour.connects:
+            self.after(behaviour.delay, lambda: self.write_release(effect, behaviour))
         else:
-            self.after(RELEASE_TIMEOUT, lambda: self.answer_release(effect, False))
+            self.after(RELEASE_TIMEOUT, lambda: self.end_release_call(effect, acknowledged=False))
 
-    def write_release(self, effect: effects.Release, how: Behaviour) -> None:
-        if effect.call_number in self.releases.get(effect.request_id, ()):
-            self.after(how.delay, lambda: self.release(effect, how))
+    def write_release(self, effect: effects.Release, behaviour: EndpointBehaviour) -> None:
+        if effect.call_number in self.release_calls.get(effect.request_id, ()):
+            self.after(behaviour.delay, lambda: self.release(effect, behaviour))
 
-    def answer_release(self, effect: effects.Release, heard: bool) -> None:
-        if effect.call_number in self.releases.get(effect.request_id, ()):
-            self.releases[effect.request_id].discard(effect.call_number)
-            self.feed(
-                events.ReleaseCallEnded(effect.request_id, effect.accepted_at, effect.call_number, heard)
-            )
+    def end_release_call(self, effect: effects.Release, acknowledged: bool) -> None:
+        if effect.call_number not in self.release_calls.get(effect.request_id, ()):
+            return
+        self.release_calls[effect.request_id].discard(effect.call_number)
+        self.feed(
+            events.ReleaseCallEnded(effect.request_id, effect.accepted_at, effect.call_number, acknowledged)
+        )
 
     def on_cancel_releases(self, effect: effects.CancelReleases) -> None:
-        self.releases.pop(effect.request_id, None)
+        self.release_calls.pop(effect.request_id, None)
 
     # --- the endpoints' side
 
     def change(
         self,
-        id: str,
+        request_id: str,
         *,
-        counts: bool = False,
-        reading: int = 0,
-        decoding: int = 0,
+        restarts_time: bool = False,
+        prefills: int = 0,
+        decodes: int = 0,
         adds: str = "",
         clears: bool = False,
     ) -> None:
-        """Note a change of what is held; `counts`: an outcome or reservation, from which time runs anew."""
-        self.judge(id)
-        held = self.held[id]
-        held.reading += reading
-        held.decoding += decoding
+        """Change what is held; `restarts_time`: by an outcome or reservation, from which time counts anew."""
+        self.check_release_time(request_id)
+        held = self.held[request_id]
+        held.prefills += prefills
+        held.decodes += decodes
         if adds:
             held.items.add(adds)
         if clears:
             held.items.clear()
-        if not held.items or held.reading or held.decoding:
+        if not held.items or held.prefills or held.decodes:
             held.since = None
-        elif held.since is None or counts:
+        elif held.since is None or restarts_time:
             held.since = self.now
 
-    def judge(self, id: str) -> None:
-        held = self.held[id]
+    def check_release_time(self, request_id: str) -> None:
+        held = self.held[request_id]
         if self.limit is None or held.since is None or self.now - held.since <= self.limit:
             return
-        self.breaks.append(f"{id}: {sorted(held.items)} from {held.since - START} to {self.now - START}")
+        items, since, until = sorted(held.items), held.since - START, self.now - START
+        self.violations.append(f"{request_id}: {items} from {since} to {until}")
         held.since = self.now
 
-    def close(self, work: Work, reads: bool) -> None:
+    def close_attempt(self, attempt: EndpointAttempt, is_prefill: bool) -> None:
         """Let an attempt's close arrive."""
-        if not work.over:
-            work.over = True
-            self.change(work.id, counts=True, reading=-reads, decoding=-(not reads))
-
-    def read(self, key: tuple[str, int], work: Work, name: str, how: Behaviour) -> None:
-        self.change(work.id, reading=1)
-        if not how.hangs:
-            self.after(how.work, lambda: self.finish_read(key, work, name, how))
-
-    def finish_read(self, key: tuple[str, int], work: Work, name: str, how: Behaviour) -> None:
-        if work.over:
+        if attempt.ended:
             return
-        work.over = True
-        statuses = {
-            "reset": AttemptStatus.RESET,
-            "error": AttemptStatus.ERROR,
-            "full": AttemptStatus.OVERLOADED,
-            "": AttemptStatus.PREFILLED,
-        }
-        self.change(work.id, counts=True, reading=-1, adds="" if how.fails else f"state at {name}")
-        self.after(how.delay, lambda: self.end_read(key, statuses[how.fails], name, how))
-
-    def end_read(self, key: tuple[str, int], status: AttemptStatus, name: str, how: Behaviour) -> None:
-        """Let a read's end arrive. One whose connection broke may go on, unless it was given up before.
+        attempt.ended = True
+        ended = {"prefills": -1} if is_prefill else {"decodes": -1}
+        self.change(attempt.request_id, restarts_time=True, **ended)
 
-        The state of a read that was given up goes by itself, but for one that has just ended."""
-        if key in self.out and status is AttemptStatus.RESET and how.reads_on:
-            self.after(how.reads_on, lambda: self.change(key[0], counts=True, adds=f"state at {name}"))
-        self.end(key, status)
+    def start_prefill(self, key: AttemptKey, attempt: EndpointAttempt, behaviour: EndpointBehaviour) -> None:
+        self.change(attempt.request_id, prefills=1)
+        if not behaviour.hangs:
+            self.after(behaviour.duration, lambda: self.finish_prefill(key, attempt, behaviour))
 
-    def decode(self, key: tuple[str, int], work: Work, name: str, how: Behaviour) -> None:
-        if not any(each.startswith("state") for each in self.held[work.id].items):
-            work.over = True
-            self.after(how.delay, lambda: self.end_without_state(key))
+    def finish_prefill(self, key: AttemptKey, attempt: EndpointAttempt, behaviour: EndpointBehaviour) -> None:
+        if attempt.ended:
             return
-        self.change(work.id, decoding=1)
-        if not how.hangs:
-            self.after(how.work, lambda: self.finish_decode(key, work, how))
-
-    def end_without_state(self, key: tuple[str, int]) -> None:
-        if key in self.out:
-            del self.out[key]
-            self.feed(events.AttemptEnded(*key, AttemptStatus.OVERLOADED, 1))
+        attempt.ended = True
+        kv_state = "" if behaviour.failure else f"state at {attempt.endpoint_name}"
+        self.change(attempt.request_id, restarts_time=True, prefills=-1, adds=kv_state)
+        status = behaviour.failure or AttemptStatus.PREFILLED
+        self.after(behaviour.delay, lambda: self.end_prefill(key, status, attempt, behaviour))
+
+    def end_prefill(
+        self, key: AttemptKey, status: AttemptStatus, attempt: EndpointAttempt, behaviour: EndpointBehaviour
+    ) -> None:
+        """Let a prefill's end arrive. One whose connection broke may run on, unless it was aborted before.
+
+        The state of a prefill that was aborted goes by itself, but for one that has just ended."""
+        if key in self.running and status is AttemptStatus.RESET and behaviour.run_on:
+            kv_state = f"state at {attempt.endpoint_name}"
+            self.after(behaviour.run_on, lambda: self.change(key[0], restarts_time=True, adds=kv_state))
+        self.end_attempt(key, status)
+
+    def start_decode(self, key: AttemptKey, attempt: EndpointAttempt, behaviour: EndpointBehaviour) -> None:
+        if not any(item.startswith("state") for item in self.held[attempt.request_id].items):
+            attempt.ended = True
+            overloaded = AttemptStatus.OVERLOADED
+            self.after(behaviour.delay, lambda: self.end_attempt(key, overloaded, state_missing=True))
+            return
+        self.change(attempt.request_id, decodes=1)
+        if not behaviour.hangs:
+            self.after(behaviour.duration, lambda: self.finish_decode(key, attempt, behaviour))
 
-    def finish_decode(self, key: tuple[str, int], work: Work, how: Behaviour) -> None:
-        if work.over:
+    def finish_decode(self, key: AttemptKey, attempt: EndpointAttempt, behaviour: EndpointBehaviour) -> None:
+        if attempt.ended:
             return
-        if how.fails:
-            work.over = True
-            self.change(work.id, counts=True, decoding=-1)
-            statuses = {
-                "reset": AttemptStatus.RESET,
-                "error": AttemptStatus.ERROR,
-                "full": AttemptStatus.OVERLOADED,
-            }
-            self.after(how.delay, lambda: self.end(key, statuses[how.fails]))
+        failure = behaviour.failure
+        if failure is not None:
+            attempt.ended = True
+            self.change(attempt.request_id, restarts_time=True, decodes=-1)
+            self.after(behaviour.delay, lambda: self.end_attempt(key, failure))
             return
-        self.change(work.id, clears=True)
-        self.after(how.delay, lambda: key in self.out and self.feed(events.ResponseStarted(*key)))
-        self.after(how.work, lambda: self.finish_stream(key, work, how))
-
-    def finish_stream(self, key: tuple[str, int], work: Work, how: Behaviour) -> None:
-        if not work.over:
-            work.over = True
-            self.change(work.id, counts=True, decoding=-1)
-            self.after(how.delay, lambda: self.end(key, AttemptStatus.OK))
-
-    def reserve(self, key: tuple[str, int], name: str, how: Behaviour) -> None:
-        known = self.held[key[0]].reading > 0
-        if how.grants:
-            self.change(key[0], counts=True, adds=f"place at {name}")
-        result = ReservationOutcome.UNKNOWN
-        if known:
-            result = ReservationOutcome.RESERVED if how.grants else ReservationOutcome.REJECTED
-        if how.answers_reservations:
-            wait = how.delay + (0 if known else UNKNOWN_AFTER)
-            self.after(wait, lambda: self.feed(events.ReservationEnded(*key, result)))
-
-    def release(self, effect: effects.Release, how: Behaviour) -> None:
-        if not self.held[effect.request_id].decoding:
+        self.change(attempt.request_id, clears=True)
+        self.after(behaviour.delay, lambda: self.start_response(key))
+        self.after(behaviour.duration, lambda: self.finish_response(key, attempt, behaviour))
+
+    def start_response(self, key: AttemptKey) -> None:
+        if key in self.running:
+            self.feed(events.ResponseStarted(*key))
+
+    def finish_response(
+        self, key: AttemptKey, attempt: EndpointAttempt, behaviour: EndpointBehaviour
+    ) -> None:
+        if not attempt.ended:
+            attempt.ended = True
+            self.change(attempt.request_id, restarts_time=True, decodes=-1)
+            self.after(behaviour.delay, lambda: self.end_attempt(key, AttemptStatus.OK))
+
+    def reserve(self, key: AttemptKey, name: str, behaviour: EndpointBehaviour) -> None:
+        granted, is_known = behaviour.grants_reservations, self.held[key[0]].prefills > 0
+        if granted:
+            self.change(key[0], restarts_time=True, adds=f"reservation at {name}")
+        outcome = ReservationOutcome.UNKNOWN
+        if is_known:
+            outcome = ReservationOutcome.RESERVED if granted else ReservationOutcome.REJECTED
+        if behaviour.answers_reservations:
+            delay = behaviour.delay + (0 if is_known else UNKNOWN_RESERVATION_DELAY)
+            self.after(delay, lambda: self.end_reservation(key, outcome))
+
+    def release(self, effect: effects.Release, behaviour: EndpointBehaviour) -> None:
+        if not self.held[effect.request_id].decodes:
             self.change(effect.request_id, clears=True)
-        self.after(how.delay, lambda: self.answer_release(effect, True))
+        self.after(behaviour.delay, lambda: self.end_release_call(effect, acknowledged=True))
--- a/tests/support/reducer_harness.py
+++ b/tests/support/reducer_harness.py
@@ -1,4 +1,4 @@
-"""Drives the core without sockets: the reducer with its clock, and a runtime in this process."""
+"""Drives the lifecycle without sockets: the reducer with its clock, or a runtime in this process."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -20,9 +20,9 @@
 from llm_router.transport.pool import RELEASE_SOCKETS, ConnectionPool
 from llm_router.transport.runtime import Runtime
 
-MS, SECOND = timedelta(milliseconds=1), timedelta(seconds=1)
+MILLISECOND, SECOND = timedelta(milliseconds=1), timedelta(seconds=1)
 SETTINGS = Settings(
-    kinds=(KindSettings("reader", Role.PREFILL), KindSettings("writer", Role.DECODE)),
+    kinds=(KindSettings("prefill", Role.PREFILL), KindSettings("decode", Role.DECODE)),
     classes=(
         ClassSettings("safe", 10**9, 4 * 10**9, Idempotency.SAFE),
         ClassSettings("once", 10**9, 4 * 10**9, Idempotency.NONE),
@@ -36,91 +36,109 @@
 )
 
 
-def endpoint(name, kind, state=EndpointStatus.READY):
-    return Endpoint(name, f"{name}:1", "z", kind, 0, state)
+def endpoint(name, kind, status=EndpointStatus.READY):
+    return Endpoint(name, f"{name}:1", "z", kind, 0, status)
+
+
+def router_state(settings):
+    return RouterState(settings, RoutingPolicy(settings, 1), IdempotencyRegistry(9, 10 * 60 * SECOND))
 
 
 class ReducerHarness:
-    def __init__(self, **changes):
-        settings = replace(SETTINGS, **changes)
-        self.state = RouterState(
-            settings, RoutingPolicy(settings, 1), IdempotencyRegistry(9, 10 * 60 * SECOND)
-        )
-        self.now, self.timers, self.logged = 1000 * SECOND, [], []
-        fleet = endpoint("r", "reader"), endpoint("w", "writer"), endpoint("w2", "writer")
-        self.feed(events.EndpointListReceived(fleet, True))
+    """The reducer with one prefill endpoint "r" and two decode endpoints "w" and "w2"."""
+
+    def __init__(self, **settings):
+        self.state = router_state(replace(SETTINGS, **settings))
+        self.now = 1000 * SECOND
+        self.effects = []  # of the latest event
+        self.release_timers = []
+        self.logged = []  # names of log events
+        endpoints = endpoint("r", "prefill"), endpoint("w", "decode"), endpoint("w2", "decode")
+        self.feed(events.EndpointListReceived(endpoints, True))
 
     def feed(self, event, after=timedelta()):
-        """Play an event; connections come up at once, so that what is to be sent is on its way."""
+        """Reduce an event; connections come up at once, so that each attempt opened is written."""
         self.now += after
         self.effects = reduce(self.state, self.now, event)
-        for forward in self.effects_of(effects.OpenAttempt):
-            self.effects += reduce(
-                self.state, self.now, events.AttemptWritten(forward.request_id, forward.attempt)
-            )
-        self.logged += [say.name for say in self.effects_of(effects.LogEvent)]
-        self.timers += [
-            wake
-            for wake in self.effects_of(effects.ScheduleTimer)
-            if isinstance(wake.timer, events.ReleaseDue)
+        for opened in self.effects_of(effects.OpenAttempt):
+            written = events.AttemptWritten(opened.request_id, opened.attempt)
+            self.effects += reduce(self.state, self.now, written)
+        self.logged += [line.name for line in self.effects_of(effects.LogEvent)]
+        self.release_timers += [
+            scheduled
+            for scheduled in self.effects_of(effects.ScheduleTimer)
+            if isinstance(scheduled.timer, events.ReleaseDue)
         ]
         return self.effects
 
     def next_release(self):
-        """Let time pass to the next release that is due, and give its calls."""
-        while self.timers:
-            wake = min(self.timers, key=lambda each: each.at)
-            self.timers.remove(wake)
-            self.now = max(self.now, wake.at)
-            self.feed(events.TimerFired(wake.timer))
+        """Let time pass to the next release that is due, and return its calls."""
+        while self.release_timers:
+            scheduled = min(self.release_timers, key=lambda each: each.at)
+            self.release_timers.remove(scheduled)
+            self.now = max(self.now, scheduled.at)
+            self.feed(events.TimerFired(scheduled.timer))
             if calls := self.effects_of(effects.Release):
                 return calls
         return []
 
-    def acknowledge_releases(self, most=9):
-        """Let an endpoint take each release that is asked for, until none is due any more; give how many."""
-        heard, calls = 0, self.effects_of(effects.Release) or self.next_release()
-        while calls and heard < most:
-            heard += 1
-            self.feed(
-                events.ReleaseCallEnded(
-                    calls[0].request_id, calls[0].accepted_at, calls[0].call_number, True
-                ),
-                MS,
-            )
+    def acknowledge_releases(self, limit=9):
+        """Let an endpoint acknowledge each release until none is due any more; return how many it were."""
+        acknowledged, calls = 0, self.effects_of(effects.Release) or self.next_release()
+        while calls and acknowledged < limit:
+            acknowledged += 1
+            self.end_release_call(calls[0], acknowledged=True)
             calls = self.effects_of(effects.Release) or self.next_release()
-        return heard
+        return acknowledged
+
+    def end_release_call(self, call, acknowledged):
+        """End a release call a millisecond later."""
+        ended = events.ReleaseCallEnded(call.request_id, call.accepted_at, call.call_number, acknowledged)
+        self.feed(ended, MILLISECOND)
 
     def effects_of(self, kind):
         return [each for each in self.effects if isinstance(each, kind)]
 
-    def submit(self, id="q", cls="safe", after=timedelta(), **more):
-        return self.feed(events.RequestReceived(id, cls, 2000, 100, 4 * SECOND, session="s", **more), after)
+    def log_events(self, name):
+        """Return the log events of a name among the latest effects."""
+        return [each for each in self.effects_of(effects.LogEvent) if each.name == name]
+
+    def submit(self, request_id="q", class_name="safe", after=timedelta(), **fields):
+        received = events.RequestReceived(
+            request_id, class_name, 2000, 100, 4 * SECOND, session="s", **fields
+        )
+        return self.feed(received, after)
+
+    def silence_policy(self):
+        """Let the policy decide nothing from now on."""
+        self.state.policy.handle = lambda *_: []
 
     def deadline_timer(self):
-        """Give the core's own timer of the request just asked; the module's are numbers."""
-        (wake,) = (each for each in self.effects_of(effects.ScheduleTimer) if not isinstance(each.timer, int))
-        return wake
+        """Return the lifecycle's own timer of the request just submitted; the policy's are numbers."""
+        (scheduled,) = (
+            each for each in self.effects_of(effects.ScheduleTimer) if not isinstance(each.timer, int)
+        )
+        return scheduled
 
-    def finish_prefill(self, id="q", holds=1):
-        """Play the read to its end; the writer's attempt is out then."""
-        for _ in range(holds):
-            self.feed(events.ReservationEnded(id, 0, ReservationOutcome.UNANSWERED))
-        self.feed(events.AttemptEnded(id, 0, AttemptStatus.PREFILLED), 10 * MS)
-        (forward,) = self.effects_of(effects.OpenAttempt)
-        return forward
+    def finish_prefill(self, request_id="q", unanswered_reservations=1):
+        """Let the prefill end well; return the decode attempt that is opened then."""
+        for _ in range(unanswered_reservations):
+            self.feed(events.ReservationEnded(request_id, 0, ReservationOutcome.UNANSWERED))
+        self.feed(events.AttemptEnded(request_id, 0, AttemptStatus.PREFILLED), 10 * MILLISECOND)
+        (opened,) = self.effects_of(effects.OpenAttempt)
+        return opened
 
 
-def start(reader, writer, **changes):
-    """Give a runtime that knows a reader and a writer."""
+def start(prefill, decode, **changes):
+    """Return a runtime that knows a prefill and a decode endpoint."""
     addresses = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
     config = platform_configuration({"name": "n", **addresses, "settings": PLATFORM_SETTINGS, **changes})
     runtime = Runtime(
         config, ConnectionPool(config, config.limits.upstream_sockets, RELEASE_SOCKETS), reservation_path
     )
     entries = [
-        registry_entry("r1", reader.address, "prefill"),
-        registry_entry("w1", writer.address, "decode"),
+        registry_entry("r1", prefill.address, "prefill"),
+        registry_entry("w1", decode.address, "decode"),
     ]
     runtime.feed(read_list({"index": 1, "snapshot": True, "endpoints": entries}))
     return runtime
