--- a/tests/lifecycle/test_lease_releases.py
+++ b/tests/lifecycle/test_lease_releases.py
@@ -52,7 +52,7 @@
     lifecycle.submit()
     draining = endpoint("r", "prefill", EndpointStatus.DRAINING)
     lifecycle.feed(events.EndpointListReceived((draining,), False))
-    lifecycle.state.policy.stranded = lambda *_: False  # it waits for an endpoint to come back
+    lifecycle.silence_policy()  # as while the request waits for an endpoint to come back
     lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.RESET), 10 * MILLISECOND)
     request = lifecycle.state.requests["q"]
     (release,) = lifecycle.next_release()
