--- a/llm_router/lifecycle/final_answers.py
+++ b/llm_router/lifecycle/final_answers.py
@@ -20,26 +20,36 @@
     state: RouterState, now: timedelta, action: routing_actions.RejectRequest
 ) -> Iterator[effects.Effect]:
     """Give a request the final answer that it is rejected, unless it is closed."""
-    request = state.requests.get(action.request_id)
-    if request is None or request.is_closed:
-        return
-    request.change(RequestChange.CLOSED)
-    state.metrics.add("rejected", now - request.accepted_at)
-    yield from _log_answer(state, now, request, "request_rejected", action.reason)
-    yield effects.SendRejection(action.request_id, to_timedelta(action.retry_after), action.reason.value)
+    retry_after = to_timedelta(action.retry_after)
+    answer = effects.SendRejection(action.request_id, retry_after, action.reason.value)
+    yield from _answer(state, now, action, answer, metric="rejected", log_event="request_rejected")
 
 
 def fail_request(
     state: RouterState, now: timedelta, action: routing_actions.FailRequest
 ) -> Iterator[effects.Effect]:
     """Give a request the final answer that it failed, unless it is closed."""
+    answer = effects.SendFailure(action.request_id, action.reason.value)
+    yield from _answer(state, now, action, answer, metric="failed", log_event="request_failed")
+
+
+def _answer(
+    state: RouterState,
+    now: timedelta,
+    action: routing_actions.RejectRequest | routing_actions.FailRequest,
+    answer: effects.SendRejection | effects.SendFailure,
+    *,
+    metric: str,
+    log_event: str,
+) -> Iterator[effects.Effect]:
+    """Close a request with a final answer, unless it is closed; count and log it."""
     request = state.requests.get(action.request_id)
     if request is None or request.is_closed:
         return
     request.change(RequestChange.CLOSED)
-    state.metrics.add("failed", now - request.accepted_at)
-    yield from _log_answer(state, now, request, "request_failed", action.reason)
-    yield effects.SendFailure(action.request_id, action.reason.value)
+    state.metrics.add(metric, now - request.accepted_at)
+    yield from _log_answer(state, now, request, log_event, action.reason)
+    yield answer
 
 
 def _log_answer(
