--- a/llm_router/routing/__init__.py
+++ b/llm_router/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: no I/O, integer nanoseconds."""
+"""The routing policy: events in, actions out, no I/O; all times are integer nanoseconds."""
--- a/llm_router/routing/actions.py
+++ b/llm_router/routing/actions.py
@@ -12,7 +12,7 @@
 class StartAttempt:
     """Send the request to an endpoint; attempts count from 0. `timeout` 0: until the client gives up.
 
-    `not_after`: from this time on it may not be written, even if its connection comes up then."""
+    `write_deadline`: from this time on it may not be written, even if its connection comes up then."""
 
     request_id: str
     endpoint_id: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Give up one attempt."""
+    """Cancel one attempt."""
 
     request_id: str
     attempt: int
@@ -49,13 +49,13 @@
     UNSPECIFIED = "unspecified"
     DEADLINE_EXCEEDED = "deadline_exceeded"
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # by their number, the class or the deduplication window
-    NO_ENDPOINT_IN_TIME = "no_endpoint_in_time"  # none of a stage takes new work before it would be late
+    NO_ENDPOINT_IN_TIME = "no_endpoint_in_time"  # none of a phase takes new work before it would be late
     QUEUEING_DELAY = "queueing_delay"  # queues would make it late
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: rejected, a retry is harmless. `pause` 0: no advice on when."""
+    """Final answer: rejected, a retry is harmless. `retry_after` 0: no advice on when."""
 
     request_id: str
     retry_after: int = 0
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrateStream:
-    """End a running stream in good order; its client comes back."""
+    """End a running stream in good order; its client resumes it at another router instance."""
 
     request_id: str
 
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """Send a message to one router instance, or to all the others where `to` is None."""
+    """Send a message to one router instance, or to all the others where `recipient` is None."""
 
     recipient: int | None
     data: bytes
--- /dev/null
+++ b/llm_router/routing/admission.py
@@ -0,0 +1,149 @@
+"""Admission control: rejects requests that would be late, and first those of tenants above their quota."""
+
+from __future__ import annotations
+
+from statistics import median
+
+from llm_router.routing.candidate_subset import MAX_CANDIDATES, CandidateSubset
+from llm_router.routing.context import PolicyContext
+from llm_router.routing.duration import SECOND
+from llm_router.routing.endpoint_index import DECODE_ROLES, PREFILL_ROLES
+from llm_router.routing.endpoint_state import NO_TENANT_CLASS, EndpointState, TenantClass
+from llm_router.routing.load_probes import MAX_PROBES, LoadProbes
+from llm_router.routing.prefill_selection import PrefillSelection
+from llm_router.routing.queueing_delay import QueueingDelays
+from llm_router.routing.request_state import RequestPhase, RequestState
+from llm_router.routing.reservations import MAX_RESERVATIONS, Reservations
+from llm_router.routing.settings import Role
+from llm_router.routing.statistics import RECENT_SPAN, DecayingCounter
+
+MAX_WAIT_SHARE = 0.8  # of the latency objective: a request that waits longer is rejected
+MAX_WAIT_SHARE_OVER_QUOTA = 0.4  # the same for a tenant above its quota
+RETRY_FACTOR = 0.5  # of these limits for a client's retry: another instance may have capacity
+AVAILABILITY_HORIZON = SECOND  # nanoseconds past the last useful time, where no endpoint is available
+
+
+class Admission:
+    """Estimates the wait of a request by the endpoints used recently."""
+
+    def __init__(
+        self,
+        context: PolicyContext,
+        candidates: CandidateSubset,
+        prefill_selection: PrefillSelection,
+        load_probes: LoadProbes,
+        delays: QueueingDelays,
+        reservations: Reservations,
+    ) -> None:
+        self.context = context
+        self.candidates = candidates
+        self.prefill_selection = prefill_selection
+        self.load_probes = load_probes
+        self.delays = delays
+        self.reservations = reservations
+        self.arrivals: dict[str, DecayingCounter] = {}  # by tenant
+        self._quotas = {tenant.name: tenant.requests_per_second for tenant in context.settings.tenants}
+
+    def record_arrival(self, tenant: str | None) -> None:
+        """Count a request for its tenant's quota."""
+        counter = self.arrivals.setdefault(tenant or "", DecayingCounter(RECENT_SPAN))
+        counter.add(self.context.now)
+
+    def would_be_late(self, request: RequestState) -> bool:
+        """Return whether a request would wait too long, and note when its client should come back.
+
+        Retries are judged by the same wait, as nobody says how old they are. Clients are advised to stay away
+        for as long as the wait lasts."""
+        objective = request.latency_objective
+        wait = self.context.now - request.arrived_at + self._expected_wait(request)
+        request.retry_after = round(wait - MAX_WAIT_SHARE * objective)
+        return wait > self._max_wait_share(request) * objective
+
+    def no_endpoint_in_time(self, request: RequestState) -> bool:
+        """Return whether no endpoint of a coming phase takes a request before it would be late.
+
+        Then all are removed, ejected or overloaded together, and waiting would be in vain."""
+        last_useful = request.arrived_at + round(MAX_WAIT_SHARE * request.latency_objective)
+        last_useful = max(self.context.now, last_useful)
+        available_at = max(
+            self._earliest_available(roles, request.tenant_class, last_useful)
+            for roles in (DECODE_ROLES, self._first_phase_roles(request))
+        )
+        request.retry_after = available_at - self.context.now
+        return available_at > last_useful
+
+    def _first_phase_roles(self, request: RequestState) -> tuple[Role, ...]:
+        """Return the roles of which one endpoint must be available beside a decode endpoint."""
+        if request.phase is RequestPhase.PREFILLED or self.context.settings.append_prefill:
+            return tuple(Role)
+        return PREFILL_ROLES
+
+    def _earliest_available(
+        self, roles: tuple[Role, ...], tenant_class: TenantClass, last_useful: int
+    ) -> int:
+        """Return when the first endpoint of some roles takes new work; one that does now ends the search."""
+        times = []
+        for endpoint in self.candidates.candidates(roles):
+            available_at = endpoint.available_at(tenant_class)
+            if available_at <= self.context.now:
+                return available_at
+            times.append(available_at)
+        earliest = min(times, default=last_useful + AVAILABILITY_HORIZON)
+        if earliest > last_useful and not self.candidates.is_small(*roles):
+            others = self.candidates.spread(roles)
+            return min([earliest, *(endpoint.available_at(tenant_class) for endpoint in others)])
+        return earliest
+
+    def _expected_wait(self, request: RequestState) -> float:
+        """Return the expected nanoseconds of waiting: the median delays of the phases, and that for capacity.
+
+        Denied reservations count as a wait: work sent without one queues at the decode endpoints and delays
+        their answers."""
+        wait = 0.0
+        for endpoints in self._phase_endpoints(request):
+            delays = [self.delays.delay(endpoint) for endpoint in endpoints if self.delays.is_known(endpoint)]
+            if delays:
+                wait += median(delays)
+        all_denied = self.reservations.denied_share() ** MAX_RESERVATIONS
+        return wait + all_denied * request.latency_objective
+
+    def _phase_endpoints(self, request: RequestState) -> list[list[EndpointState]]:
+        """Return the endpoints by whose delays the wait of each coming phase is estimated."""
+        if request.append_endpoint is not None:
+            return [[request.append_endpoint]]
+        if request.probed_endpoints:
+            prefill = self._reported_endpoints(request)
+        else:
+            prefill = self._recently_used(Role.PREFILL)
+        return [prefill, self._recently_used(Role.DECODE)]
+
+    def _recently_used(self, role: Role) -> list[EndpointState]:
+        """Return the usable endpoints of a role; in a large fleet those used last, whose delays are known."""
+        if self.candidates.is_small(role):
+            return self.candidates.usable((role,))
+        recent = self.candidates.index.recently_used(role, MAX_CANDIDATES)
+        return [endpoint for endpoint in recent if self.candidates.accepts(endpoint, NO_TENANT_CLASS)]
+
+    def _reported_endpoints(self, request: RequestState) -> list[EndpointState]:
+        """Return the endpoints whose load reports say how long a request would wait for its prefill.
+
+        That is the one that it would go to. While others may still be probed there is none; once all that
+        were probed have queues, they stand for the rest."""
+        first = self.prefill_selection.first(request)
+        if first is not None and self.load_probes.has_report(first):
+            return [first]
+        return request.probed_endpoints if len(request.probed_endpoints) >= MAX_PROBES else []
+
+    def _max_wait_share(self, request: RequestState) -> float:
+        """Return the share of the latency objective that a request may wait."""
+        share = MAX_WAIT_SHARE_OVER_QUOTA if self._is_over_quota(request) else MAX_WAIT_SHARE
+        return share * RETRY_FACTOR if request.received.is_retry else share
+
+    def _is_over_quota(self, request: RequestState) -> bool:
+        """Return whether a tenant is above its quota, if all instances receive as much of it as this one."""
+        tenant = request.received.tenant or ""
+        quota = self._quotas.get(tenant)
+        if not quota:
+            return False
+        arrivals = self.arrivals[tenant].count * self.context.settings.router_count
+        return arrivals / (RECENT_SPAN / SECOND) > quota
--- a/llm_router/routing/endpoint_index.py
+++ b/llm_router/routing/endpoint_index.py
@@ -1,4 +1,4 @@
-"""The servers that a router knows, with indexes that a change of the list costs its entries alone."""
+"""The endpoints that a router instance knows, with indexes by role and cell."""
 
 from __future__ import annotations
 
@@ -6,124 +6,140 @@
 from collections.abc import Iterable
 from dataclasses import replace
 from itertools import islice
+from typing import NamedTuple
 
+from llm_router.routing.endpoint_state import AttemptKey, EndpointState
 from llm_router.routing.events import (
     AttemptEnded,
+    EndpointEntry,
     EndpointListUpdate,
     EndpointStatus,
     FirstToken,
     ReservationResult,
 )
 from llm_router.routing.indexed_set import IndexedSet
+from llm_router.routing.request_state import Attempt
 from llm_router.routing.settings import KindSettings, Role
-from llm_router.routing.state import Attempt, Server
 
+PREFILL_ROLES = (Role.PREFILL, Role.MIXED)
+DECODE_ROLES = (Role.DECODE, Role.MIXED)
 
-class Servers(dict[int, Server]):
-    """The server list, level with what was told last."""
+
+class RoleInCell(NamedTuple):
+    """A role within a cell."""
+
+    role: Role
+    cell: int
+
+
+class EndpointIndex(dict[int, EndpointState]):
+    """The endpoints by number, as the endpoint list had them last.
+
+    An update costs as much as the entries that change, whatever the size of the fleet. Removed endpoints
+    remain while an attempt is open there; the indexes have the ready ones alone."""
 
     def __init__(self, kinds: Iterable[KindSettings]) -> None:
         super().__init__()
         self.kinds = {kind.name: kind for kind in kinds}
-        self.by_role: dict[Role, IndexedSet[Server]] = {role: IndexedSet() for role in Role}  # live ones
-        self.by_cell: dict[int, IndexedSet[Server]] = {}  # live ones
-        self.cells: Counter[tuple[Role, int]] = Counter()  # how many live ones, by role and cell
-        self.gone: dict[int, Server] = {}  # that are kept while we await an attempt there
-        self.recent: dict[Role, dict[Server, None]] = {role: {} for role in Role}  # lately used last
-        self.version = 0  # of the list
-
-    def update(self, event: EndpointListUpdate, now: int) -> list[Server]:
-        """Take a list in and give the servers that changed; a whole one removes what it leaves out.
-
-        A gone server stays while we await an attempt there."""
+        self.by_role: dict[Role, IndexedSet[EndpointState]] = {role: IndexedSet() for role in Role}
+        self.by_cell: dict[int, IndexedSet[EndpointState]] = {}
+        self.cell_counts: Counter[RoleInCell] = Counter()
+        self.removed: dict[int, EndpointState] = {}
+        self.recent: dict[Role, dict[EndpointState, None]] = {role: {} for role in Role}  # last used last
+        self.version = 0  # of the endpoint list
+
+    def update_list(self, event: EndpointListUpdate, now: int) -> list[EndpointState]:
+        """Apply an endpoint list and return what changed; a full snapshot removes what it leaves out."""
         self.version += 1
         entries = [entry for entry in event.entries or () if entry.kind in self.kinds]
-        changed = []
-        if event.is_full:
-            named = {entry.endpoint_id for entry in entries}
-            changed = [server for key, server in self.items() if key not in named]
-            for server in changed:
-                self.remove(server)
-        self.drop_gone()
-        for entry in entries:
-            kind = self.kinds[entry.kind]
-            server = self.get(entry.endpoint_id)
-            if server is None:
-                server = self[entry.endpoint_id] = Server(entry, kind.role, kind.memory_tokens or 0)
-            else:
-                self.unindex(server)
-            server.renew(entry, kind.role, now)
-            self.index(server)
-            changed.append(server)
+        changed = self._remove_unlisted(entries) if event.is_full else []
+        self._forget_removed()
+        changed += [self._update_entry(entry, now) for entry in entries]
         return changed
 
-    def remove(self, server: Server) -> None:
-        """Note that a server is listed no more."""
-        self.unindex(server)
-        server.entry = replace(server.entry, status=EndpointStatus.REMOVED)
-        self.index(server)
-
-    def drop_gone(self) -> None:
-        """Forget the gone servers where nothing is awaited any more."""
-        for number, server in list(self.gone.items()):
-            if not server.out:
-                del self.gone[number]
-                del self[number]
-
-    def index(self, server: Server) -> None:
-        """Enter a server into the indexes, by its state, role and cell."""
-        entry = server.entry
+    def _remove_unlisted(self, entries: list[EndpointEntry]) -> list[EndpointState]:
+        listed = {entry.endpoint_id for entry in entries}
+        unlisted = [endpoint for endpoint_id, endpoint in self.items() if endpoint_id not in listed]
+        for endpoint in unlisted:
+            self._unindex(endpoint)
+            endpoint.entry = replace(endpoint.entry, status=EndpointStatus.REMOVED)
+            self._index(endpoint)
+        return unlisted
+
+    def _forget_removed(self) -> None:
+        """Forget the removed endpoints without an open attempt."""
+        for endpoint_id, endpoint in list(self.removed.items()):
+            if not endpoint.open_attempts:
+                del self.removed[endpoint_id]
+                del self[endpoint_id]
+
+    def _update_entry(self, entry: EndpointEntry, now: int) -> EndpointState:
+        kind = self.kinds[entry.kind]
+        endpoint = self.get(entry.endpoint_id)
+        if endpoint is None:
+            endpoint = EndpointState(entry, kind.role, kind.memory_tokens or 0)
+            self[entry.endpoint_id] = endpoint
+        else:
+            self._unindex(endpoint)
+        endpoint.update_entry(entry, kind.role, now)
+        self._index(endpoint)
+        return endpoint
+
+    def _index(self, endpoint: EndpointState) -> None:
+        entry = endpoint.entry
         if entry.status is EndpointStatus.REMOVED:
-            self.gone[entry.endpoint_id] = server
+            self.removed[entry.endpoint_id] = endpoint
         if entry.status is not EndpointStatus.READY:
             return
-        self.by_role[server.role].add(server)
-        self.by_cell.setdefault(entry.cell, IndexedSet()).add(server)
-        self.cells[server.role, entry.cell] += 1
-
-    def unindex(self, server: Server) -> None:
-        """Take a server out of the indexes, as it was entered."""
-        entry = server.entry
-        self.gone.pop(entry.endpoint_id, None)
+        self.by_role[endpoint.role].add(endpoint)
+        self.by_cell.setdefault(entry.cell, IndexedSet()).add(endpoint)
+        self.cell_counts[RoleInCell(endpoint.role, entry.cell)] += 1
+
+    def _unindex(self, endpoint: EndpointState) -> None:
+        entry = endpoint.entry
+        self.removed.pop(entry.endpoint_id, None)
         if entry.status is not EndpointStatus.READY:
             return
-        self.by_role[server.role].discard(server)
-        self.recent[server.role].pop(server, None)
+        self.by_role[endpoint.role].discard(endpoint)
+        self.recent[endpoint.role].pop(endpoint, None)
         cell = self.by_cell[entry.cell]
-        cell.discard(server)
+        cell.discard(endpoint)
         if not cell:
             del self.by_cell[entry.cell]
-        self.cells[server.role, entry.cell] -= 1
-        if not self.cells[server.role, entry.cell]:
-            del self.cells[server.role, entry.cell]
+        role_in_cell = RoleInCell(endpoint.role, entry.cell)
+        self.cell_counts[role_in_cell] -= 1
+        if not self.cell_counts[role_in_cell]:
+            del self.cell_counts[role_in_cell]
 
-    def live(self, roles: Iterable[Role]) -> list[Server]:
-        """Give the servers of some roles that run and do not drain."""
-        return [server for role in roles for server in self.by_role[role]]
+    def ready(self, roles: Iterable[Role]) -> list[EndpointState]:
+        """Return the ready endpoints of some roles."""
+        return [endpoint for role in roles for endpoint in self.by_role[role]]
 
     def count(self, *roles: Role) -> int:
-        """Give how many servers of some roles run and do not drain."""
+        """Return how many ready endpoints some roles have."""
         return sum(len(self.by_role[role]) for role in roles)
 
-    def live_one(self, number: int | None, roles: Iterable[Role]) -> Server | None:
-        """Give a server by its number, if it runs, does not drain and has one of some roles."""
-        server = self.get(number)
-        if server is None or server.entry.status is not EndpointStatus.READY or server.role not in roles:
+    def find_ready(self, endpoint_id: int | None, roles: Iterable[Role]) -> EndpointState | None:
+        """Return an endpoint by its number, if it is ready and has one of some roles."""
+        endpoint = None if endpoint_id is None else self.get(endpoint_id)
+        if endpoint is None or endpoint.entry.status is not EndpointStatus.READY:
+            return None
+        return endpoint if endpoint.role in roles else None
+
+    def mark_used(self, endpoint: EndpointState) -> None:
+        """Note that an endpoint was sent work, or showed its load."""
+        if endpoint.entry.status is EndpointStatus.READY:
+            recent = self.recent[endpoint.role]
+            recent.pop(endpoint, None)
+            recent[endpoint] = None
+
+    def recently_used(self, role: Role, limit: int) -> list[EndpointState]:
+        """Return the ready endpoints of a role that were used last, latest first, at most `limit`."""
+        return list(islice(reversed(self.recent[role]), limit))
+
+    def open_attempt(self, event: FirstToken | ReservationResult | AttemptEnded) -> Attempt | None:
+        """Return the open attempt that an event is about."""
+        endpoint = self.get(event.endpoint_id)
+        if endpoint is None:
             return None
-        return server
-
-    def touch(self, server: Server) -> None:
-        """Note that a server was used, or told of its load."""
-        if server.entry.status is EndpointStatus.READY:
-            recent = self.recent[server.role]
-            recent.pop(server, None)
-            recent[server] = None
-
-    def lately_used(self, roles: Iterable[Role], most: int) -> list[Server]:
-        """Give the live servers of some roles that were used last, at most so many of each."""
-        return [server for role in roles for server in islice(reversed(self.recent[role]), most)]
-
-    def attempt(self, event: FirstToken | ReservationResult | AttemptEnded) -> Attempt | None:
-        """Give the attempt out that an event speaks of."""
-        server = self.get(event.endpoint_id)
-        return server.out.get((event.request_id, event.attempt)) if server else None
+        return endpoint.open_attempts.get(AttemptKey(event.request_id, event.attempt))
--- a/llm_router/routing/events.py
+++ b/llm_router/routing/events.py
@@ -1,4 +1,4 @@
-"""Events that the routing policy is told of.
+"""Events that the routing policy handles.
 
 All times and spans are integer nanoseconds on the policy's clock, all lengths are tokens."""
 
@@ -31,9 +31,9 @@
 
 
 class ConnectionFault(Enum):
-    """Why a failed connect or a reset tells nothing of the endpoint."""
+    """Why a failed connect or a reset says nothing of the endpoint."""
 
-    NONE = auto()  # it does tell: the endpoint refused or broke the connection
+    NONE = auto()  # it does: the endpoint refused or broke the connection
     STALE = auto()  # an idle connection was used again; it may have been closed as idle
     LOCAL = auto()  # a system call on the router's own machine failed
 
@@ -50,7 +50,7 @@
     queued_requests: float | None = None
 
     def updated(self, later: LoadReport) -> LoadReport:
-        """Return this report with what a later one tells in place of its own figures."""
+        """Return this report with the figures of a later one in place of its own."""
         return LoadReport(
             self.memory_share if later.memory_share is None else later.memory_share,
             self.queued_prompt_tokens if later.queued_prompt_tokens is None else later.queued_prompt_tokens,
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """An entry of the endpoint list; `born` is when the endpoint started, 0 for long ago."""
+    """An entry of the endpoint list; `started_at` is 0 if that was long ago."""
 
     endpoint_id: int
     kind: str
@@ -88,8 +88,8 @@
 class RequestReceived:
     """A client's request; one final answer is owed from here on.
 
-    `prefix` names a beginning that the prompt shares with others, of `prefix_len` tokens. `hint` is the
-    expected duration of the answer. `resumed`: its stream was migrated here from another router."""
+    `prefix` names a beginning that the prompt shares with others, of `prefix_tokens` tokens.
+    `expected_duration` is that of the answer. `resumed`: its stream was migrated here from another router."""
 
     request_id: str
     class_name: str
@@ -119,9 +119,10 @@
 class AttemptEnded:
     """How an attempt ended.
 
-    `closed`: the client has its final answer or has gone. `cached_tokens`: prompt tokens that the endpoint
-    found in its cache, with OK and PREFILLED. `state_missing`: with OVERLOADED, the KV state to fetch was not
-    there. `connection_fault`: with RESET and CONNECT_FAILED."""
+    `request_closed`: the client has its final answer or has gone.
+    `cached_tokens`: prompt tokens that the endpoint found in its cache, with OK and PREFILLED.
+    `state_missing`: with OVERLOADED, the KV state to fetch was not there.
+    `connection_fault`: with RESET and CONNECT_FAILED."""
 
     request_id: str
     attempt: int
@@ -154,7 +155,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set with SetTimer is due."""
+    """A timer set with SetTimer has expired."""
 
     timer_id: int
 
--- a/llm_router/routing/gossip_codec.py
+++ b/llm_router/routing/gossip_codec.py
@@ -1,4 +1,4 @@
-"""What routers tell each other, in few bytes. Nothing is decided here."""
+"""The wire form of what router instances send one another: 10 bytes a message."""
 
 from __future__ import annotations
 
@@ -7,36 +7,45 @@
 from struct import Struct
 from zlib import crc32
 
-VERSION, FORM, CHECK = 1, Struct(">BBIH"), Struct(">H")
+VERSION = 1  # of the wire form
+BODY = Struct(">BBIH")  # version, symptom, endpoint number, tenant and class
+CHECKSUM = Struct(">H")  # the low half of the body's CRC-32
 
 
 class Symptom(IntEnum):
-    """What a router has met at a server."""
+    """What a router instance has met at an endpoint; the values are those of the wire."""
 
     DOWN = 1  # it refused the connection or broke it
     SLOW = 2
-    FULL = 3  # for a tenant and class
+    OVERLOADED = 3  # for a tenant and class
 
 
 @dataclass(slots=True, frozen=True)
-class GossipMessage:
-    """What routers tell each other of a server; tenant and class by their place in the settings."""
+class SymptomMessage:
+    """A symptom of an endpoint; tenant and class by their index in the order of the settings."""
 
     symptom: Symptom
-    server: int
-    pair: int = 0
+    endpoint_id: int
+    tenant_class_index: int = 0
 
-    def pack(self) -> bytes:
-        """Write it down with a check."""
-        body = FORM.pack(VERSION, self.symptom, self.server, self.pair)
-        return body + CHECK.pack(crc32(body) & 0xFFFF)
+    def encode(self) -> bytes:
+        """Return the message's bytes."""
+        body = BODY.pack(VERSION, self.symptom, self.endpoint_id, self.tenant_class_index)
+        return body + _checksum(body)
 
     @classmethod
-    def read(cls, data: bytes) -> GossipMessage | None:
-        """Give the report, or None where it was cut short, comes from another version or is noise."""
-        body, check = data[: FORM.size], data[FORM.size :]
-        if len(data) != FORM.size + CHECK.size or CHECK.pack(crc32(body) & 0xFFFF) != check:
+    def decode(cls, data: bytes) -> SymptomMessage | None:
+        """Return the message, None where it is truncated, damaged or of another version."""
+        if len(data) != BODY.size + CHECKSUM.size:
             return None
-        version, symptom, server, pair = FORM.unpack(body)
-        known = version == VERSION and symptom in set(Symptom)
-        return cls(Symptom(symptom), server, pair) if known else None
+        body = data[: BODY.size]
+        if _checksum(body) != data[BODY.size :]:
+            return None
+        version, symptom, endpoint_id, tenant_class_index = BODY.unpack(body)
+        if version != VERSION or symptom not in set(Symptom):
+            return None
+        return cls(Symptom(symptom), endpoint_id, tenant_class_index)
+
+
+def _checksum(body: bytes) -> bytes:
+    return CHECKSUM.pack(crc32(body) & 0xFFFF)
--- a/llm_router/routing/hash_ring.py
+++ b/llm_router/routing/hash_ring.py
@@ -4,67 +4,78 @@
 
 from collections.abc import Iterator
 from itertools import chain
+from typing import NamedTuple
 from zlib import crc32
 
 from sortedcontainers import SortedList
 
-from llm_router.routing.state import Server
+from llm_router.routing.endpoint_state import EndpointState
 
-MASK = 0xFFFFFFFFFFFFFFFF
+MASK_64_BITS = 0xFFFFFFFFFFFFFFFF
 
 
-def mix(text: str) -> int:
-    """Hash a text to 32 bits, the same way in every process."""
-    value = (crc32(text.encode()) + 0x9E3779B97F4A7C15) * 0xBF58476D1CE4E5B9 & MASK
-    return ((value ^ value >> 31) * 0x94D049BB133111EB & MASK) >> 32
+def stable_hash(text: str) -> int:
+    """Hash a text to 32 bits, the same way in every process.
+
+    CRC-32 alone spreads similar texts badly; the rest is the finalizer of SplitMix64."""
+    value = (crc32(text.encode()) + 0x9E3779B97F4A7C15) * 0xBF58476D1CE4E5B9 & MASK_64_BITS
+    return ((value ^ value >> 31) * 0x94D049BB133111EB & MASK_64_BITS) >> 32
 
 
 def jump_hash(key: int, buckets: int) -> int:
-    """Give a bucket for a key in logarithmic time; few keys move when there are more buckets.
+    """Return a bucket for a key in logarithmic time; few keys move when a bucket is added.
 
     Lamping and Veach, "A Fast, Minimal Memory, Consistent Hash Algorithm"."""
-    chosen, following = -1, 0
+    chosen = -1
+    following = 0
     while following < buckets:
         chosen = following
-        key = (key * 2862933555777941757 + 1) & MASK
+        key = (key * 2862933555777941757 + 1) & MASK_64_BITS
         following = int((chosen + 1) * ((1 << 31) / ((key >> 33) + 1)))
     return chosen
 
 
-class Ring:
-    """The points of servers on a ring, the same wherever servers have the same number of points.
+class RingPoint(NamedTuple):
+    """A point of an endpoint on the ring."""
+
+    position: int
+    endpoint_id: int
+
+
+class HashRing:
+    """The points of endpoints on a ring, the same in all processes where their numbers of points agree.
 
     A change costs the points that come or go, each in logarithmic time."""
 
     def __init__(self) -> None:
-        self.places = SortedList()  # of (place, server's number)
-        self.servers: dict[int, Server] = {}
-        self.parts: dict[int, int] = {}  # points by server's number
-
-    @property
-    def points(self) -> Iterator[tuple[int, Server]]:
-        """Give every place with its server, in order."""
-        return ((place, self.servers[number]) for place, number in self.places)
-
-    def set_points(self, server: Server, points: int) -> None:
-        """Give a server so many points; none removes it."""
-        number = server.entry.endpoint_id
-        before = self.parts.get(number, 0)
-        for index in range(before, points):
-            self.places.add((mix(f"{number} {index}"), number))
-        for index in range(points, before):
-            self.places.remove((mix(f"{number} {index}"), number))
-        if points:
-            self.parts[number], self.servers[number] = points, server
+        self.points = SortedList()  # of RingPoint
+        self._endpoints: dict[int, EndpointState] = {}
+        self._point_counts: dict[int, int] = {}  # by endpoint number
+
+    def set_points(self, endpoint: EndpointState, count: int) -> None:
+        """Set how many points an endpoint has; 0 removes it."""
+        endpoint_id = endpoint.endpoint_id
+        before = self._point_counts.get(endpoint_id, 0)
+        for index in range(before, count):
+            self.points.add(self._point(endpoint_id, index))
+        for index in range(count, before):
+            self.points.remove(self._point(endpoint_id, index))
+        if count:
+            self._point_counts[endpoint_id] = count
+            self._endpoints[endpoint_id] = endpoint
         else:
-            self.parts.pop(number, None)
-            self.servers.pop(number, None)
+            self._point_counts.pop(endpoint_id, None)
+            self._endpoints.pop(endpoint_id, None)
 
-    def walk(self, key: str) -> Iterator[Server]:
-        """Give each server once, in the order of the ring from a key's place."""
-        start = (mix(key), -1)
+    def walk(self, key: str) -> Iterator[EndpointState]:
+        """Yield each endpoint once, in the order of the ring from a key's position."""
+        start = RingPoint(stable_hash(key), -1)
         seen = set()
-        for _, number in chain(self.places.irange(start), self.places.irange(None, start)):
-            if number not in seen:
-                seen.add(number)
-                yield self.servers[number]
+        for _, endpoint_id in chain(self.points.irange(start), self.points.irange(None, start)):
+            if endpoint_id not in seen:
+                seen.add(endpoint_id)
+                yield self._endpoints[endpoint_id]
+
+    @staticmethod
+    def _point(endpoint_id: int, index: int) -> RingPoint:
+        return RingPoint(stable_hash(f"{endpoint_id} {index}"), endpoint_id)
--- a/llm_router/routing/indexed_set.py
+++ b/llm_router/routing/indexed_set.py
@@ -1,4 +1,4 @@
-"""A set of which an even spread of items is found without a look at all of them."""
+"""A set that is iterated in a reproducible order, from which an even spread of items can be taken."""
 
 from __future__ import annotations
 
@@ -9,35 +9,37 @@
 
 
 class IndexedSet(Generic[Item]):
-    """A set whose items have places in a list. Adding and removing take constant time."""
+    """A set whose items stand in a list; adding and removing take constant time."""
 
     def __init__(self) -> None:
         self.items: list[Item] = []
-        self.places: dict[Item, int] = {}
+        self._indexes: dict[Item, int] = {}
 
     def __len__(self) -> int:
+        """Return the number of items."""
         return len(self.items)
 
     def __iter__(self) -> Iterator[Item]:
+        """Iterate over the items in the order of the list."""
         return iter(self.items)
 
     def add(self, item: Item) -> None:
-        """Add an item that may be in already."""
-        if item not in self.places:
-            self.places[item] = len(self.items)
+        """Add an item, if it is not in the set."""
+        if item not in self._indexes:
+            self._indexes[item] = len(self.items)
             self.items.append(item)
 
     def discard(self, item: Item) -> None:
-        """Remove an item that may not be in; the last one takes its place."""
-        place = self.places.pop(item, None)
-        if place is None:
+        """Remove an item, if it is in the set; the last item moves to its index."""
+        index = self._indexes.pop(item, None)
+        if index is None:
             return
         last = self.items.pop()
         if last is not item:
-            self.items[place] = last
-            self.places[last] = place
+            self.items[index] = last
+            self._indexes[last] = index
 
-    def spread(self, most: int, turn: int) -> list[Item]:
-        """Give at most so many items, evenly spaced; `turn` moves the spread on."""
-        step = -(-len(self.items) // most)
-        return self.items[turn % step :: step] if step > 1 else list(self.items)
+    def spread(self, limit: int, offset: int) -> list[Item]:
+        """Return at most `limit` items, evenly spaced; each `offset` selects other ones."""
+        step = -(-len(self.items) // limit)
+        return self.items[offset % step :: step] if step > 1 else list(self.items)
--- /dev/null
+++ b/llm_router/routing/periodic_check.py
@@ -0,0 +1,48 @@
+"""The periodic check while requests wait for their answer."""
+
+from __future__ import annotations
+
+from llm_router.routing.context import PolicyContext
+from llm_router.routing.prefix_popularity import PrefixPopularity
+from llm_router.routing.request_progress import CHECK_INTERVAL, RequestProgress
+from llm_router.routing.request_state import RequestState
+from llm_router.routing.session_affinity import SessionAffinityTable
+from llm_router.routing.silence_detection import SilenceDetector
+
+
+class PeriodicCheck:
+    """Runs each CHECK_INTERVAL: detects silence, drops idle entries and advances waiting requests."""
+
+    def __init__(
+        self,
+        context: PolicyContext,
+        requests: dict[str, RequestState],
+        silence: SilenceDetector,
+        affinities: SessionAffinityTable,
+        popularity: PrefixPopularity,
+        progress: RequestProgress,
+    ) -> None:
+        self.context = context
+        self.requests = requests
+        self.silence = silence
+        self.affinities = affinities
+        self.popularity = popularity
+        self.progress = progress
+        self._is_scheduled = False
+
+    def ensure_scheduled(self) -> None:
+        """Schedule the next check, unless one is."""
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            self.context.set_timer(CHECK_INTERVAL, self._run)
+
+    def _run(self) -> None:
+        waiting = [request for request in self.requests.values() if not request.has_answer]
+        self.silence.check(waiting)
+        self.affinities.drop_idle(self.context.now)
+        self.popularity.drop_idle()
+        for request in waiting:
+            self.progress.advance(request)
+        self._is_scheduled = False
+        if waiting:
+            self.ensure_scheduled()
--- /dev/null
+++ b/llm_router/routing/reservations.py
@@ -0,0 +1,61 @@
+"""Reservations of capacity at decode endpoints while the prefill runs."""
+
+from __future__ import annotations
+
+from llm_router.routing.actions import Reserve
+from llm_router.routing.context import PolicyContext
+from llm_router.routing.decode_selection import DecodeSelection
+from llm_router.routing.request_state import RequestState
+from llm_router.routing.slow_start import SlowStart
+from llm_router.routing.statistics import RECENT_SPAN, DecayingCounter
+
+MAX_RESERVATIONS = 4  # decode endpoints asked during one prefill, one after another
+
+
+class Reservations:
+    """Asks for reservations, so that the KV state flows early, and counts what came of them.
+
+    Avoids decode endpoints that other router instances filled unseen. A long prefill leaves its reservation
+    idle."""
+
+    def __init__(
+        self, context: PolicyContext, decode_selection: DecodeSelection, slow_start: SlowStart
+    ) -> None:
+        self.context = context
+        self.decode_selection = decode_selection
+        self.slow_start = slow_start
+        self._granted = DecayingCounter(RECENT_SPAN)
+        self._denied = DecayingCounter(RECENT_SPAN)
+
+    def request_next(self, request: RequestState) -> None:
+        """Ask the best decode endpoint that was not asked, if the settings allow reservations."""
+        targets = request.reservation_targets
+        if not self.context.settings.reservations or len(targets) >= MAX_RESERVATIONS:
+            return
+        for endpoint in self.decode_selection.ordered(request)[:MAX_RESERVATIONS]:
+            if endpoint not in targets and self.slow_start.admit(endpoint, is_prefill=False):
+                targets.append(endpoint)
+                self.context.emit(Reserve(request.request_id, endpoint.endpoint_id))
+                return
+
+    def record_result(self, request: RequestState, *, granted: bool) -> None:
+        """Record the answer of the endpoint asked last; where it is a denial, ask the next."""
+        if not request.reservation_targets:
+            return
+        counter = self._granted if granted else self._denied
+        counter.add(self.context.now)
+        if request.ended:
+            return
+        if granted:
+            request.reserved_endpoint = request.reserved_endpoint or request.reservation_targets[-1]
+        elif request.reserved_endpoint is None:
+            self.request_next(request)
+
+    def denied_share(self) -> float:
+        """Return the share of recent reservation requests that were denied; a few say little.
+
+        It covers any shortage at decode endpoints: bursts, lost endpoints, long prompts. It misleads where
+        full endpoints are asked while others have capacity; it fades with RECENT_SPAN."""
+        denied = self._denied.decay(self.context.now)
+        granted = self._granted.decay(self.context.now)
+        return denied / (denied + granted + 1)
--- /dev/null
+++ b/llm_router/routing/send_rates.py
@@ -0,0 +1,36 @@
+"""How often this router instance sends prefill and decode attempts."""
+
+from __future__ import annotations
+
+from llm_router.routing.context import PolicyContext
+from llm_router.routing.endpoint_index import EndpointIndex
+from llm_router.routing.endpoint_state import EndpointState
+from llm_router.routing.settings import Role
+from llm_router.routing.statistics import RECENT_SPAN, DecayingCounter
+
+
+class SendRates:
+    """Decaying counts of the attempts sent, prefill and decode apart."""
+
+    def __init__(self, context: PolicyContext, index: EndpointIndex) -> None:
+        self.context = context
+        self.index = index
+        self._prefill = DecayingCounter(RECENT_SPAN)
+        self._decode = DecayingCounter(RECENT_SPAN)
+
+    def record(self, endpoint: EndpointState, *, is_prefill: bool) -> None:
+        """Count an attempt at an endpoint."""
+        self._counter(is_prefill).add(self.context.now)
+        self.index.mark_used(endpoint)
+
+    def recent_per_endpoint(self, endpoint: EndpointState, *, is_prefill: bool) -> float:
+        """Return how many attempts of a phase each endpoint of this one's role had within RECENT_SPAN."""
+        return self._counter(is_prefill).decay(self.context.now) / self.index.count(endpoint.role)
+
+    def mean_interval(self, endpoint: EndpointState) -> int:
+        """Return the mean nanoseconds between two of our attempts at an endpoint of this one's role."""
+        recent = self._counter(endpoint.role is Role.PREFILL).decay(self.context.now)
+        return round(RECENT_SPAN * self.index.count(endpoint.role) / max(1.0, recent))
+
+    def _counter(self, is_prefill: bool) -> DecayingCounter:
+        return self._prefill if is_prefill else self._decode
--- /dev/null
+++ b/llm_router/routing/session_affinity.py
@@ -0,0 +1,67 @@
+"""Session affinity: which endpoints served a session last."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from llm_router.routing.duration import SECOND
+from llm_router.routing.events import RequestReceived
+from llm_router.routing.settings import Role
+from llm_router.routing.statistics import drop_older_than
+
+if TYPE_CHECKING:
+    from llm_router.routing.endpoint_state import EndpointState
+    from llm_router.routing.request_state import RequestState
+
+IDLE_TIMEOUT = 120 * SECOND  # nanoseconds after which an endpoint's cache has most likely lost a session
+
+
+@dataclass(slots=True)
+class SessionAffinity:
+    """Who decoded a session's last answer, and who prefilled how many tokens of its prompt."""
+
+    decode_endpoint_id: int
+    updated_at: int
+    prefill_endpoint_id: int | None
+    prefilled_tokens: int
+
+
+class SessionAffinityTable:
+    """The affinities by session, else by prefix; the one that was updated last stands last."""
+
+    def __init__(self) -> None:
+        self.entries: dict[str, SessionAffinity] = {}
+
+    def find(self, received: RequestReceived) -> SessionAffinity | None:
+        """Return the affinity of a request's session."""
+        return self.entries.get(self._key(received))
+
+    def record_answer(self, request: RequestState, decoded_by: EndpointState, now: int) -> None:
+        """Record who served a request; an append-prefill leaves the prefill endpoint as it was."""
+        key = self._key(request.received)
+        self.entries.pop(key, None)
+        self.entries[key] = self._next_entry(request, decoded_by, now)
+
+    def drop_idle(self, now: int) -> None:
+        """Drop the sessions that had no answer within IDLE_TIMEOUT."""
+        drop_older_than(self.entries, now - IDLE_TIMEOUT)
+
+    @staticmethod
+    def _key(received: RequestReceived) -> str:
+        return received.session or received.prefix or ""
+
+    @staticmethod
+    def _next_entry(request: RequestState, decoded_by: EndpointState, now: int) -> SessionAffinity:
+        prefilled_by = request.prefilled_by
+        if prefilled_by is None and decoded_by.role is Role.MIXED:
+            prefilled_by = decoded_by
+        if prefilled_by is not None:
+            tokens = request.received.prompt_tokens
+            return SessionAffinity(decoded_by.endpoint_id, now, prefilled_by.endpoint_id, tokens)
+        earlier = request.affinity
+        if earlier is None:
+            return SessionAffinity(decoded_by.endpoint_id, now, None, 0)
+        return SessionAffinity(
+            decoded_by.endpoint_id, now, earlier.prefill_endpoint_id, earlier.prefilled_tokens
+        )
--- a/llm_router/routing/settings.py
+++ b/llm_router/routing/settings.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KindSettings:
-    """A kind of endpoint; `memory` is its KV cache in tokens."""
+    """A kind of endpoint; `memory_tokens` is its KV cache in tokens."""
 
     name: str
     role: Role
@@ -46,8 +46,8 @@
 class ClassSettings:
     """A class of requests.
 
-    `aim` and `aim_per_1000` are the latency objective of the first token: a constant, and what each thousand
-    prompt tokens add. `token_aim` is the objective between two tokens."""
+    `latency_objective` and `objective_per_1000_tokens` are the objective of the first token: a constant, and
+    what each thousand prompt tokens add. `token_interval` is the objective between two tokens."""
 
     name: str
     latency_objective: int
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a router instance is told at start."""
+    """What a router instance is configured with."""
 
     kinds: tuple[KindSettings, ...]
     classes: tuple[ClassSettings, ...]
--- /dev/null
+++ b/llm_router/routing/timers.py
@@ -0,0 +1,28 @@
+"""Timers of the policy."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from llm_router.routing.request_state import RequestState
+
+TimerCallback = Callable[[], RequestState | None]
+
+
+class Timers:
+    """The callbacks of pending timers by the number of each timer."""
+
+    def __init__(self) -> None:
+        self._callbacks: dict[int, TimerCallback] = {}
+        self._last_id = 0
+
+    def add(self, callback: TimerCallback) -> int:
+        """Store a callback and return the number of its timer."""
+        self._last_id += 1
+        self._callbacks[self._last_id] = callback
+        return self._last_id
+
+    def fire(self, timer_id: int) -> RequestState | None:
+        """Run the callback of a timer once; return the request that has to be advanced, if any."""
+        callback = self._callbacks.pop(timer_id, None)
+        return callback() if callback else None
--- a/tests/lifecycle/test_kv_lease.py
+++ b/tests/lifecycle/test_kv_lease.py
@@ -181,7 +181,8 @@
     """Play a prefill that breaks while its reservation is out, with no server left for another attempt."""
     core.submit()
     core.feed(events.EndpointListReceived((endpoint("r", "reader", EndpointStatus.DRAINING),), False))
-    core.state.policy.stranded = lambda job: False  # it waits for a server to come back
+    # It waits for a server to come back:
+    core.state.policy.admission.no_endpoint_in_time = lambda request: False
     core.feed(events.AttemptEnded("q", 0, AttemptStatus.RESET), 10 * MS)
     request = core.state.requests["q"]
     (release,) = core.next_release()
--- a/tests/lifecycle/test_reducer.py
+++ b/tests/lifecycle/test_reducer.py
@@ -202,7 +202,7 @@
             events.EndpointListReceived((endpoint(f"new{number}", "writer", EndpointStatus.REMOVED),), False)
         )
     core.feed(events.EndpointListReceived((), False))
-    assert len(core.state.numbers) == len(core.state.endpoints) == len(core.state.policy.servers) == 3
+    assert len(core.state.numbers) == len(core.state.endpoints) == len(core.state.policy.endpoints) == 3
     before = core.state.number("r")
     core.feed(events.EndpointListReceived((endpoint("r", "reader", EndpointStatus.REMOVED),), False))
     core.feed(events.EndpointListReceived((endpoint("r", "reader"),), False))
--- a/tests/routing/test_protocol_rules.py
+++ b/tests/routing/test_protocol_rules.py
@@ -1,18 +1,18 @@
-"""The five rules, without the bench: each test fails if the rule's line in the module is taken out."""
+"""The five rules of the protocol: each test fails if the code of its rule is taken out."""
 
 import pytest
-from policy_harness import FLEET, MS, READER_A, READER_B, WRITER_A, WRITER_B, PolicyHarness, S, entry
+from policy_harness import DECODE_A, DECODE_B, FLEET, MS, PREFILL_A, PREFILL_B, PolicyHarness, S, entry
 
 from llm_router.routing import actions, events
 from llm_router.routing.events import AttemptStatus, EndpointStatus
 from llm_router.routing.settings import ClassSettings, DeduplicationScope, Idempotency, KindSettings, Role
 
-PROVEN = (AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
-RISKY = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
+NEVER_RAN = (AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
+MAY_HAVE_RUN = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
 
 
-def at_writer(effect, **changes):
-    harness = PolicyHarness(idempotency=effect, **changes)
+def decoding_request(idempotency, **changes):
+    harness = PolicyHarness(idempotency=idempotency, **changes)
     harness.submit()
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
     return harness, harness.attempted_endpoints()[0]
@@ -21,7 +21,7 @@
 # --- no request lost
 
 
-def test_a_deadline_with_an_attempt_out_ends_the_request():
+def test_deadline_ends_a_request_with_an_open_attempt():
     harness = PolicyHarness(idempotency=Idempotency.NONE)
     harness.submit()
     ends = [
@@ -32,12 +32,12 @@
     assert ends == [actions.FailRequest("r")]
 
 
-def test_a_deadline_with_none_out_ends_the_request_in_time():
+def test_deadline_ends_a_request_without_attempts_in_time():
     harness = PolicyHarness(
-        fleet=[entry(s.endpoint_id, s.kind, s.cell, born=999 * S) for s in FLEET]
-    )  # all cold
-    for server in harness.router.servers.values():
-        server.next_cold = harness.now + 9 * S
+        fleet=[entry(s.endpoint_id, s.kind, s.cell, started_at=999 * S) for s in FLEET]
+    )  # all in slow start
+    for endpoint in harness.policy.endpoints.values():
+        endpoint.next_slow_start_send = harness.now + 9 * S
     start = harness.now
     harness.submit(time_remaining=500 * MS)
     assert harness.attempted_endpoints() == [] and harness.final_answers() == []
@@ -45,44 +45,44 @@
     assert harness.final_answers() == [actions.RejectRequest]
 
 
-def test_exactly_one_end_and_nothing_sent_after_it():
+def test_request_has_one_final_answer_and_no_attempt_after_it():
     harness = PolicyHarness()
     harness.submit()
-    reader = harness.attempted_endpoints()[0]
+    prefill_endpoint = harness.attempted_endpoints()[0]
     harness.run_timers(harness.now + 4 * S)
     assert len(harness.final_answers()) == 1
-    harness.end_attempt(AttemptStatus.CANCELLED, reader)
+    harness.end_attempt(AttemptStatus.CANCELLED, prefill_endpoint)
     assert harness.attempted_endpoints() == [] and harness.final_answers() == []
     assert harness.actions_of(actions.Release)
 
 
-def test_an_outcome_that_closes_is_the_only_end(harness):
+def test_closed_request_gets_no_other_final_answer(harness):
     harness.serve()
     assert harness.final_answers() == []
     harness.run_timers(harness.now + 10 * S)
     assert harness.final_answers() == []
 
 
-def test_a_started_stream_has_no_deadline():
-    harness, writer = at_writer(Idempotency.NONE)
-    harness.first_token(writer)
+def test_started_stream_has_no_deadline():
+    harness, decode_endpoint = decoding_request(Idempotency.NONE)
+    harness.first_token(decode_endpoint)
     harness.run_timers(harness.now + 20 * S)
     assert harness.final_answers() == [] and harness.actions_of(actions.CancelAttempt) == []
 
 
-def test_a_client_gone_in_the_same_batch_as_its_end(harness):
+def test_disconnect_after_the_final_answer_has_no_effect(harness):
     harness.submit()
     harness.run_timers(harness.now + 4 * S)
     harness.handle(events.ClientDisconnected("r"))
     assert harness.final_answers() == [] and harness.attempted_endpoints() == []
 
 
-def test_a_client_gone_while_a_read_is_out_leaves_nothing_held(harness):
+def test_disconnect_during_the_prefill_releases_its_kv_state(harness):
     harness.submit()
-    reader = harness.attempted_endpoints()[0]
+    prefill_endpoint = harness.attempted_endpoints()[0]
     harness.handle(events.ClientDisconnected("r"))
     assert harness.final_answers() == []
-    harness.end_attempt(AttemptStatus.PREFILLED, reader)
+    harness.end_attempt(AttemptStatus.PREFILLED, prefill_endpoint)
     assert harness.attempted_endpoints() == [] and harness.actions_of(actions.Release) == [
         actions.Release("r")
     ]
@@ -91,68 +91,68 @@
 # --- no effect twice
 
 
-@pytest.mark.parametrize("status", PROVEN)
-@pytest.mark.parametrize("effect", list(Idempotency))
-def test_what_never_ran_goes_to_another_writer(effect, status):
-    harness, writer = at_writer(effect)
-    harness.end_attempt(status, writer, attempt=1)
+@pytest.mark.parametrize("status", NEVER_RAN)
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_attempt_that_never_ran_is_retried_elsewhere(idempotency, status):
+    harness, decode_endpoint = decoding_request(idempotency)
+    harness.end_attempt(status, decode_endpoint, attempt=1)
     assert len(harness.attempted_endpoints()) == 1 and harness.final_answers() == []
 
 
-@pytest.mark.parametrize("status", RISKY)
-def test_an_unsafe_request_that_may_have_run_only_fails(status):
-    harness, writer = at_writer(Idempotency.NONE)
-    harness.end_attempt(status, writer, attempt=1)
+@pytest.mark.parametrize("status", MAY_HAVE_RUN)
+def test_non_idempotent_request_that_may_have_run_fails(status):
+    harness, decode_endpoint = decoding_request(Idempotency.NONE)
+    harness.end_attempt(status, decode_endpoint, attempt=1)
     assert harness.attempted_endpoints() == [] and harness.final_answers() == [actions.FailRequest]
 
 
-@pytest.mark.parametrize("status", RISKY)
-def test_a_safe_request_that_may_have_run_is_sent_again(status):
-    harness, writer = at_writer(Idempotency.SAFE)
-    harness.end_attempt(status, writer, attempt=1)
+@pytest.mark.parametrize("status", MAY_HAVE_RUN)
+def test_idempotent_request_that_may_have_run_is_retried(status):
+    harness, decode_endpoint = decoding_request(Idempotency.SAFE)
+    harness.end_attempt(status, decode_endpoint, attempt=1)
     assert len(harness.attempted_endpoints()) == 1
 
 
-@pytest.mark.parametrize("status", RISKY)
-@pytest.mark.parametrize("effect", list(Idempotency))
-def test_a_read_never_has_an_effect(effect, status):
-    harness = PolicyHarness(idempotency=effect)
+@pytest.mark.parametrize("status", MAY_HAVE_RUN)
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_failed_prefill_is_always_retried(idempotency, status):
+    harness = PolicyHarness(idempotency=idempotency)
     harness.submit()
     harness.end_attempt(status, harness.attempted_endpoints()[0])
     assert len(harness.attempted_endpoints()) == 1
 
 
-def keyed(group, window=5 * S):
+def decoding_request_with_key(scope, window=5 * S):
     cls = ClassSettings(
-        "c", S, 4 * S, Idempotency.KEYED, deduplication_scope=group, deduplication_window=window
+        "c", S, 4 * S, Idempotency.KEYED, deduplication_scope=scope, deduplication_window=window
     )
-    fleet = FLEET + (entry(23, "writer", 0), entry(24, "writer", 1))
+    fleet = FLEET + (entry(23, "decode", 0), entry(24, "decode", 1))
     harness = PolicyHarness(fleet=fleet, classes=(cls,))
     harness.submit()
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
     return harness, harness.attempted_endpoints()[0]
 
 
-def test_a_keyed_request_stays_in_its_group():
-    harness, writer = keyed(DeduplicationScope.CELL)
-    harness.end_attempt(AttemptStatus.ERROR, writer, attempt=1)
-    cells = {WRITER_A: 0, 23: 0, WRITER_B: 1, 24: 1}
-    assert [cells[s] for s in harness.attempted_endpoints()] == [cells[writer]]
+def test_request_with_key_is_retried_within_its_deduplication_scope():
+    harness, decode_endpoint = decoding_request_with_key(DeduplicationScope.CELL)
+    harness.end_attempt(AttemptStatus.ERROR, decode_endpoint, attempt=1)
+    cells = {DECODE_A: 0, 23: 0, DECODE_B: 1, 24: 1}
+    assert [cells[s] for s in harness.attempted_endpoints()] == [cells[decode_endpoint]]
 
 
-def test_a_keyed_request_is_not_sent_after_its_window():
-    harness, writer = keyed(DeduplicationScope.ALL, window=100 * MS)
-    harness.end_attempt(AttemptStatus.ERROR, writer, attempt=1, after=200 * MS)
+def test_request_with_key_is_not_retried_after_the_deduplication_window():
+    harness, decode_endpoint = decoding_request_with_key(DeduplicationScope.ALL, window=100 * MS)
+    harness.end_attempt(AttemptStatus.ERROR, decode_endpoint, attempt=1, after=200 * MS)
     assert harness.attempted_endpoints() == [] and harness.final_answers() == [actions.RejectRequest]
 
 
-def test_a_keyed_request_with_a_narrow_group_is_not_refused_once_it_may_have_run():
-    harness, writer = keyed(DeduplicationScope.CELL, window=100 * MS)
-    harness.end_attempt(AttemptStatus.ERROR, writer, attempt=1, after=200 * MS)
+def test_request_with_key_of_narrow_scope_fails_once_it_may_have_run():
+    harness, decode_endpoint = decoding_request_with_key(DeduplicationScope.CELL, window=100 * MS)
+    harness.end_attempt(AttemptStatus.ERROR, decode_endpoint, attempt=1, after=200 * MS)
     assert harness.final_answers() == [actions.FailRequest]
 
 
-def test_the_attempt_cap_holds():
+def test_max_attempts_limits_the_attempts():
     harness = PolicyHarness(max_attempts=2)
     harness.submit()
     harness.end_attempt(AttemptStatus.RESET, harness.attempted_endpoints()[0])
@@ -160,86 +160,89 @@
     assert harness.attempted_endpoints() == [] and harness.final_answers() == [actions.RejectRequest]
 
 
-# --- drains kept
+# --- draining respected
 
 
-@pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_nothing_is_sent_to_a_server_told_to_drain(state):
+@pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+def test_draining_or_removed_endpoint_gets_no_attempt(status):
     harness = PolicyHarness()
-    told = entry(READER_A, "reader", 0, state), entry(WRITER_A, "writer", 0, state)
-    harness.handle(events.EndpointListUpdate(told, is_full=False))
+    entries = entry(PREFILL_A, "prefill", 0, status), entry(DECODE_A, "decode", 0, status)
+    harness.handle(events.EndpointListUpdate(entries, is_full=False))
     for number in range(6):
         harness.submit(f"r{number}")
-        assert harness.attempted_endpoints() == [READER_B]
-        harness.end_attempt(AttemptStatus.PREFILLED, READER_B, f"r{number}")
-        assert harness.attempted_endpoints() == [WRITER_B]
+        assert harness.attempted_endpoints() == [PREFILL_B]
+        harness.end_attempt(AttemptStatus.PREFILLED, PREFILL_B, f"r{number}")
+        assert harness.attempted_endpoints() == [DECODE_B]
 
 
-def test_a_server_left_out_of_a_whole_list_is_gone():
+def test_endpoint_missing_from_a_full_snapshot_is_removed():
     harness = PolicyHarness()
     harness.handle(events.EndpointListUpdate((FLEET[1], FLEET[2]), is_full=True))
     harness.submit()
-    assert harness.attempted_endpoints() == [READER_B]
+    assert harness.attempted_endpoints() == [PREFILL_B]
 
 
-def test_a_state_at_a_draining_fleet_waits_for_no_drained_writer():
+def test_draining_decode_endpoints_get_no_prefilled_request():
     harness = PolicyHarness()
     harness.submit()
-    reader = harness.attempted_endpoints()[0]
-    gone = tuple(entry(s, "writer", c, EndpointStatus.DRAINING) for s, c in ((WRITER_A, 0), (WRITER_B, 1)))
+    prefill_endpoint = harness.attempted_endpoints()[0]
+    gone = tuple(entry(s, "decode", c, EndpointStatus.DRAINING) for s, c in ((DECODE_A, 0), (DECODE_B, 1)))
     harness.handle(events.EndpointListUpdate(gone, is_full=False))
-    harness.end_attempt(AttemptStatus.PREFILLED, reader)
+    harness.end_attempt(AttemptStatus.PREFILLED, prefill_endpoint)
     assert harness.attempted_endpoints() == []
 
 
-# --- no cold server pushed over
+# --- no endpoint overloaded in slow start
 
 
 @pytest.mark.parametrize("routers", [1, 2, 4])
-def test_a_cold_server_gets_less_than_it_must_stand(routers):
-    """The cold writer's sends stay under its budget in every span, over all routers."""
-    desks = [PolicyHarness(seed=seed, router_count=routers) for seed in range(routers)]
+def test_endpoint_in_slow_start_stays_within_its_overload_limit(routers):
+    """The attempts at a decode endpoint in slow start stay within its budget, over all routers."""
+    harnesses = [PolicyHarness(seed=seed, router_count=routers) for seed in range(routers)]
     sends = []
-    for harness in desks:
+    for harness in harnesses:
         for number in range(400):
             if number == 100:
                 harness.handle(
                     events.EndpointListUpdate(
-                        (entry(WRITER_B, "writer", 1, born=harness.now),), is_full=False
+                        (entry(DECODE_B, "decode", 1, started_at=harness.now),), is_full=False
                     )
                 )
-                born = harness.now
+                started_at = harness.now
             name = f"r{number}"
             harness.submit(name, after=100 * MS)
             harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], name)
-            writer = harness.attempted_endpoints()[0]
-            if writer == WRITER_B and number >= 100 and harness.now < born + 10 * S:
+            decode_endpoint = harness.attempted_endpoints()[0]
+            if decode_endpoint == DECODE_B and number >= 100 and harness.now < started_at + 10 * S:
                 sends.append(harness.now)
-            harness.first_token(writer, name)
-            harness.end_attempt(AttemptStatus.OK, writer, name, 1, after=10 * MS, request_closed=True)
-    mean = routers * 10 / 1.3 / 2  # sends a second that a warm writer takes here
+            harness.first_token(decode_endpoint, name)
+            harness.end_attempt(
+                AttemptStatus.OK, decode_endpoint, name, 1, after=10 * MS, request_closed=True
+            )
+    mean = routers * 10 / 1.3 / 2  # sends a second that another decode endpoint takes here
     allowed = 2.5 * 0.3 * mean
     worst = max((sum(at <= other < at + S for other in sends) for at in sends), default=0)
     assert sends and worst <= max(routers, allowed)
 
 
-def test_a_router_without_a_past_starts_low_at_a_cold_server():
-    fleet = (FLEET[0], entry(WRITER_A, "writer", 0, born=1000 * S))
+def test_router_without_history_starts_slowly():
+    fleet = (FLEET[0], entry(DECODE_A, "decode", 0, started_at=1000 * S))
     harness = PolicyHarness(fleet=fleet)
     for number in range(5):
         harness.submit(f"r{number}")
-        harness.end_attempt(AttemptStatus.PREFILLED, READER_A, f"r{number}", after=MS)
-    assert sum(len(s.out) for s in harness.router.servers.values() if s.entry.endpoint_id == WRITER_A) <= 1
+        harness.end_attempt(AttemptStatus.PREFILLED, PREFILL_A, f"r{number}", after=MS)
+    assert len(harness.policy.endpoints[DECODE_A].open_attempts) <= 1
 
 
-# --- nothing left pinned
+# --- no KV state left
 
 
-def test_a_state_with_no_writer_to_take_it_is_released_in_time():
+def test_kv_state_without_decode_endpoint_is_released_in_time():
     harness = PolicyHarness(append_prefill=False)
     harness.submit()
-    for writer in (WRITER_A, WRITER_B):
-        harness.router.servers[writer].ejected_until = harness.now + 700 * MS  # back before it would be late
+    for decode_endpoint in (DECODE_A, DECODE_B):
+        # Available again before the request would be late.
+        harness.policy.endpoints[decode_endpoint].ejected_until = harness.now + 700 * MS
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
     assert harness.attempted_endpoints() == [] and harness.final_answers() == []
     start = harness.now
@@ -251,31 +254,31 @@
     assert released and released[0] <= start + 500 * MS
 
 
-@pytest.mark.parametrize("status", [AttemptStatus.OVERLOADED, *RISKY])
-def test_an_end_after_a_read_releases_what_is_held(status):
-    harness, writer = at_writer(Idempotency.NONE, max_attempts=2)
-    harness.end_attempt(status, writer, attempt=1)
+@pytest.mark.parametrize("status", [AttemptStatus.OVERLOADED, *MAY_HAVE_RUN])
+def test_final_answer_after_a_prefill_releases_its_kv_state(status):
+    harness, decode_endpoint = decoding_request(Idempotency.NONE, max_attempts=2)
+    harness.end_attempt(status, decode_endpoint, attempt=1)
     assert len(harness.final_answers()) == 1 and harness.actions_of(actions.Release) == [actions.Release("r")]
 
 
-def test_a_served_request_holds_nothing(harness):
+def test_served_request_is_forgotten(harness):
     harness.serve()
-    assert harness.router.jobs == {}
+    assert harness.policy.requests == {}
 
 
 # --- a library that does not break
 
 
-def test_events_that_speak_of_nothing_known_do_no_harm(harness):
+def test_events_about_unknown_requests_and_endpoints_have_no_effect(harness):
     harness.serve()
     for event in (
-        events.AttemptEnded("r", 1, WRITER_A, AttemptStatus.OK, 5, request_closed=True),
+        events.AttemptEnded("r", 1, DECODE_A, AttemptStatus.OK, 5, request_closed=True),
         events.AttemptEnded("x", 0, 999, AttemptStatus.ERROR, 5),
-        events.FirstToken("r", 0, READER_A, 5),
+        events.FirstToken("r", 0, PREFILL_A, 5),
         events.ClientDisconnected("x"),
         events.TimerFired(10**9),
-        events.ReservationResult("r", 0, WRITER_A, True),
-        events.LoadProbeEnded(WRITER_A, AttemptStatus.OK, 5),
+        events.ReservationResult("r", 0, DECODE_A, True),
+        events.LoadProbeEnded(DECODE_A, AttemptStatus.OK, 5),
         events.GossipReceived(3, b"x"),
         events.RequestReceived("y", "no such class", 1, 1, S),
         events.EndpointListUpdate((entry(77, "no such kind"),), is_full=False),
@@ -287,7 +290,7 @@
 @pytest.mark.parametrize(
     ("change", "name"),
     [
-        ({"kinds": (KindSettings("reader", Role.PREFILL),)}, "kinds"),
+        ({"kinds": (KindSettings("prefill", Role.PREFILL),)}, "kinds"),
         ({"classes": ()}, "classes"),
         ({"router_count": 0}, "routers"),
         ({"slow_start_share": 0.0}, "cold_share"),
@@ -296,62 +299,65 @@
         ({"classes": (ClassSettings("c", -1, 1, Idempotency.SAFE),)}, "aim"),
     ],
 )
-def test_settings_that_cannot_be_are_named(change, name):
+def test_invalid_settings_are_named(change, name):
     with pytest.raises(ValueError, match=name):
         PolicyHarness(**change)
 
 
-def test_many_routers_together_neither_push_a_cold_server_over_nor_starve_it():
-    fleet = tuple(entry(100 + n, "reader") for n in range(4)) + FLEET[2:]
-    desks = [PolicyHarness(fleet=fleet, seed=seed) for seed in range(60)]
-    start = desks[0].now
+def test_many_routers_neither_overload_nor_starve_an_endpoint_in_slow_start():
+    fleet = tuple(entry(100 + n, "prefill") for n in range(4)) + FLEET[2:]
+    harnesses = [PolicyHarness(fleet=fleet, seed=seed) for seed in range(60)]
+    start = harnesses[0].now
     moments = sorted((start + (number * 7919 % 1000) * 20 * MS, number) for number in range(1200))
-    sends = {server: [] for server in range(100, 104)}
+    sends = {endpoint: [] for endpoint in range(100, 104)}
     for moment, number in moments:
-        harness = desks[number % 60]
-        if moment >= start + 8 * S and not harness.router.servers[100].entry.started_at:
+        harness = harnesses[number % 60]
+        if moment >= start + 8 * S and not harness.policy.endpoints[100].entry.started_at:
             harness.now = start + 8 * S
             harness.handle(
-                events.EndpointListUpdate((entry(100, "reader", born=start + 8 * S),), is_full=False)
+                events.EndpointListUpdate((entry(100, "prefill", started_at=start + 8 * S),), is_full=False)
             )
         harness.now = moment
         harness.submit(f"r{number}")
-        for server in harness.attempted_endpoints():
-            sends[server].append(moment)
-            harness.end_attempt(AttemptStatus.PREFILLED, server, f"r{number}", after=0)
+        for endpoint in harness.attempted_endpoints():
+            sends[endpoint].append(moment)
+            harness.end_attempt(AttemptStatus.PREFILLED, endpoint, f"r{number}", after=0)
             harness.disconnect(f"r{number}")
-    warm = sum(len(sends[server]) for server in (101, 102, 103)) / 3 / 20
-    cold = [moment for moment in sends[100] if start + 8 * S <= moment < start + 18 * S]
-    worst = max(sum(begin <= moment < begin + S for moment in cold) for begin in cold)
-    assert worst < 0.3 * 2.5 * warm  # what it may be sent even where warm ones are at their capacity
-    assert len(cold) > 0.05 * warm * 10
+    usual = sum(len(sends[endpoint]) for endpoint in (101, 102, 103)) / 3 / 20
+    starting = [moment for moment in sends[100] if start + 8 * S <= moment < start + 18 * S]
+    worst = max(sum(begin <= moment < begin + S for moment in starting) for begin in starting)
+    assert worst < 0.3 * 2.5 * usual  # what it may be sent even where the others are at their capacity
+    assert len(starting) > 0.05 * usual * 10
 
 
-def test_what_a_server_read_of_beginnings_is_bounded(harness):
-    reader = harness.router.servers[READER_A]
+def test_cached_prefixes_of_an_endpoint_are_bounded(harness):
+    prefill_endpoint = harness.policy.endpoints[PREFILL_A]
     for number in range(3000):
         harness.serve(f"r{number}", prefix=f"p{number}", prefix_tokens=1000)
-    assert len(reader.prefixes) < 200 and len(harness.router.servers[READER_B].prefixes) < 200
+    assert (
+        len(prefill_endpoint.cached_prefixes) < 200
+        and len(harness.policy.endpoints[PREFILL_B].cached_prefixes) < 200
+    )
 
 
 @pytest.mark.parametrize(
     "status", [AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT]
 )
-def test_what_a_read_that_broke_off_may_have_left_is_let_go_though_no_place_was_asked_for(status, harness):
+def test_failed_prefill_is_released_without_reservations(status, harness):
     harness.submit()
-    reader = harness.attempted_endpoints()[0]
+    prefill_endpoint = harness.attempted_endpoints()[0]
     assert not harness.actions_of(actions.Reserve)
-    harness.end_attempt(status, reader)
+    harness.end_attempt(status, prefill_endpoint)
     assert harness.actions_of(actions.Release) and not harness.final_answers()
 
 
-def test_a_repeat_tells_until_when_it_may_be_written():
-    harness, writer = keyed(DeduplicationScope.ALL, window=2 * S)
+def test_retry_carries_a_write_deadline():
+    harness, decode_endpoint = decoding_request_with_key(DeduplicationScope.ALL, window=2 * S)
     sent_at = harness.now
     assert [send.write_deadline for send in harness.actions_of(actions.StartAttempt)] == [None], (
-        "the first one is no repeat"
+        "the first attempt is no retry"
     )
-    harness.end_attempt(AttemptStatus.RESET, writer, attempt=1)
+    harness.end_attempt(AttemptStatus.RESET, decode_endpoint, attempt=1)
     assert [send.write_deadline for send in harness.actions_of(actions.StartAttempt)] == [
         sent_at + 2 * S - 2 * MS
     ]
--- a/tests/simulator/test_simulator_codecs.py
+++ b/tests/simulator/test_simulator_codecs.py
@@ -75,7 +75,7 @@
     host = Host()
     text = batch(START + ASK + "destroy router_id=router-1\n" + START)
     host.run(Lines(io.StringIO(text)), io.StringIO())
-    assert host.routers["router-1"].jobs == {} and len(host.routers["router-1"].servers) == 2
+    assert host.routers["router-1"].requests == {} and len(host.routers["router-1"].endpoints) == 2
 
 
 def test_settings_keep_the_interfaces_values_where_absent():
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -1,4 +1,4 @@
-"""A routing policy over a small fleet, and short names for the events that it is fed."""
+"""A routing policy over a small fleet, with short names for the events that it handles."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 )
 
 MS, S = 1_000_000, 1_000_000_000
-READER_A, READER_B, WRITER_A, WRITER_B, MIXED = 11, 12, 21, 22, 31
+PREFILL_A, PREFILL_B, DECODE_A, DECODE_B, MIXED = 11, 12, 21, 22, 31
 
 
-def entry(server, kind, cell=0, state=EndpointStatus.READY, born=0, zone="z"):
-    return events.EndpointEntry(server, kind, zone, cell, state, 1.0, born)
+def entry(endpoint_id, kind, cell=0, status=EndpointStatus.READY, started_at=0, zone="z"):
+    return events.EndpointEntry(endpoint_id, kind, zone, cell, status, 1.0, started_at)
 
 
 FLEET = (
-    entry(READER_A, "reader", 0),
-    entry(READER_B, "reader", 1),
-    entry(WRITER_A, "writer", 0),
-    entry(WRITER_B, "writer", 1),
+    entry(PREFILL_A, "prefill", 0),
+    entry(PREFILL_B, "prefill", 1),
+    entry(DECODE_A, "decode", 0),
+    entry(DECODE_B, "decode", 1),
 )
+FOUR_PREFILL_FLEET = tuple(entry(100 + n, "prefill") for n in range(4)) + FLEET[2:]
 
 
 def settings(idempotency=Idempotency.SAFE, **changes):
-    told = {
+    fields = {
         "kinds": (
-            KindSettings("reader", Role.PREFILL, 200_000),
-            KindSettings("writer", Role.DECODE, 150_000),
+            KindSettings("prefill", Role.PREFILL, 200_000),
+            KindSettings("decode", Role.DECODE, 150_000),
             KindSettings("mixed", Role.MIXED, 200_000),
         ),
         "classes": (ClassSettings("c", S, 4 * S, idempotency, deduplication_window=5 * S),),
@@ -50,63 +51,62 @@
         "overload_factor": 2.5,
         "overload_window": S,
     }
-    return Settings(**{**told, **changes})
+    return Settings(**{**fields, **changes})
 
 
 class PolicyHarness:
-    """A router with its clock, and the actions by kind."""
+    """A routing policy with its clock, and the actions of the last event."""
 
     def __init__(self, fleet=FLEET, seed=1, **changes):
-        self.router = RoutingPolicy(settings(**changes), seed)
+        self.policy = RoutingPolicy(settings(**changes), seed)
         self.now = 1000 * S
-        self.count = 0
         self.timers = []
         self.handle(events.EndpointListUpdate(fleet, is_full=True))
 
     def handle(self, event, after=0):
         self.now += after
-        self.actions = self.router.handle(self.now, event)
+        self.actions = self.policy.handle(self.now, event)
         self.timers += [(a.at, a.timer_id) for a in self.actions if isinstance(a, actions.SetTimer)]
         return self.actions
 
-    def submit(self, request="r", after=0, **fields):
-        told = {
+    def submit(self, request="r", after=0, **changes):
+        fields = {
             "prompt_tokens": 2000,
             "max_output_tokens": 200,
             "time_remaining": 4 * S,
             "session": request,
             "prefix": None,
         }
-        return self.handle(events.RequestReceived(request, "c", **{**told, **fields}), after)
+        return self.handle(events.RequestReceived(request, "c", **{**fields, **changes}), after)
 
-    def end_attempt(self, status, server, request="r", attempt=0, after=10 * MS, **fields):
-        return self.handle(events.AttemptEnded(request, attempt, server, status, after, **fields), after)
+    def end_attempt(self, status, endpoint, request="r", attempt=0, after=10 * MS, **fields):
+        return self.handle(events.AttemptEnded(request, attempt, endpoint, status, after, **fields), after)
 
-    def first_token(self, server, request="r", attempt=1, after=10 * MS):
-        return self.handle(events.FirstToken(request, attempt, server, after), after)
+    def first_token(self, endpoint, request="r", attempt=1, after=10 * MS):
+        return self.handle(events.FirstToken(request, attempt, endpoint, after), after)
 
     def serve(self, request="r", **fields):
-        """Play a request through reader and writer to its end and give the writer."""
+        """Run a request through prefill and decode to its end and return the decode endpoint."""
         self.submit(request, **fields)
-        reader = self.attempted_endpoints()[0]
-        self.end_attempt(AttemptStatus.PREFILLED, reader, request)
-        writer = self.attempted_endpoints()[0]
-        self.first_token(writer, request)
-        self.end_attempt(AttemptStatus.OK, writer, request, 1, after=S, request_closed=True)
-        return writer
+        self.end_attempt(AttemptStatus.PREFILLED, self.attempted_endpoints()[0], request)
+        decode_endpoint = self.attempted_endpoints()[0]
+        self.first_token(decode_endpoint, request)
+        self.end_attempt(AttemptStatus.OK, decode_endpoint, request, 1, after=S, request_closed=True)
+        return decode_endpoint
 
     def disconnect(self, request):
-        """The client leaves, and what was out for it is cancelled."""
-        out = [(a.index, a.server.entry.endpoint_id) for a in self.router.jobs[request].out]
+        """Disconnect the client, and end the open attempts of its request as cancelled."""
+        attempts = self.policy.requests[request].open_attempts
         self.handle(events.ClientDisconnected(request))
-        for attempt, server in out:
-            self.end_attempt(AttemptStatus.CANCELLED, server, request, attempt, after=0)
+        for attempt in attempts:
+            endpoint_id = attempt.endpoint.entry.endpoint_id
+            self.end_attempt(AttemptStatus.CANCELLED, endpoint_id, request, attempt.index, after=0)
 
     def run_timers(self, until):
-        """Let time pass and play due timers in order; give all actions."""
+        """Let time pass, fire the timers that expire in their order, and return all actions."""
         seen = []
-        while due := [t for t in self.timers if t[0] <= until]:
-            timer = min(due)
+        while expired := [timer for timer in self.timers if timer[0] <= until]:
+            timer = min(expired)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
             seen += self.handle(events.TimerFired(timer[1]))
@@ -115,10 +115,55 @@
         return seen
 
     def actions_of(self, kind):
-        return [a for a in self.actions if isinstance(a, kind)]
+        return [action for action in self.actions if isinstance(action, kind)]
 
     def attempted_endpoints(self):
-        return [a.endpoint_id for a in self.actions_of(actions.StartAttempt)]
+        return [action.endpoint_id for action in self.actions_of(actions.StartAttempt)]
 
     def final_answers(self):
-        return [type(a) for a in self.actions if isinstance(a, actions.RejectRequest | actions.FailRequest)]
+        return [type(action) for action in self.actions_of(actions.RejectRequest | actions.FailRequest)]
+
+
+LATER_TURN = {"prompt_tokens": 4000, "prefix_tokens": 3500, "session": "s", "prefix": "p"}
+
+
+def harness_with_affinity(**changes):
+    """Return a harness that served a turn of session "s", and the decode endpoint that it was served by."""
+    harness = PolicyHarness(**changes)
+    return harness, harness.serve("r1", **LATER_TURN)
+
+
+def set_queueing_delay(harness, endpoint_ids, delay):
+    """Let some endpoints have shown a queueing delay just now."""
+    for endpoint_id in endpoint_ids:
+        endpoint = harness.policy.endpoints[endpoint_id]
+        endpoint.queueing_delay = delay
+        endpoint.queueing_delay_at = harness.now
+
+
+def harness_with_queued_prefill(**changes):
+    """Return a harness whose prefill endpoints have long queues, with a mean prompt of 10,000 tokens."""
+    harness = PolicyHarness(**changes)
+    harness.policy.estimates.prompt_tokens.value = 10_000.0
+    set_queueing_delay(harness, (PREFILL_A, PREFILL_B), 2 * S)
+    return harness
+
+
+def harness_with_denied_reservations(**changes):
+    """Return a harness that requested many reservations recently, all of them denied."""
+    fleet = (*FLEET[:2], *(entry(200 + n, "decode") for n in range(4)))
+    harness = PolicyHarness(reservations=True, fleet=fleet, **changes)
+    for number in range(40):
+        harness.submit(f"r{number}")
+        if not (attempted := harness.attempted_endpoints()):
+            return harness
+        while harness.actions_of(actions.Reserve):
+            harness.handle(events.ReservationResult(f"r{number}", 0, attempted[0], reserved=False))
+        harness.disconnect(f"r{number}")
+    raise AssertionError("nothing was rejected")
+
+
+def submit_to_home(harness, request="home"):
+    """Submit a request of session "p" and return the endpoint that it is sent to."""
+    harness.submit(request, session="p")
+    return harness.attempted_endpoints()[0]
