--- a/llm_router/routing/prefill_selection.py
+++ b/llm_router/routing/prefill_selection.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterator
 from itertools import islice
+from typing import NamedTuple
 
 from llm_router.routing.candidate_subset import MAX_CANDIDATES, CandidateSubset
 from llm_router.routing.context import PolicyContext
@@ -20,6 +21,13 @@
 REPLICAS_PER_SHARE = 4.0  # endpoints of a prefix for each endpoint's share of the requests that it has
 
 
+class LoadBound(NamedTuple):
+    """What may wait at an endpoint before the next one on the ring is taken."""
+
+    max_delay: float  # nanoseconds
+    max_tokens: float
+
+
 class PrefillSelection:
     """Orders the prefill endpoints by a consistent hash ring with bounded loads."""
 
@@ -46,10 +54,11 @@
         They come in ring order from the prefix, those past their load bound after the others by earliest
         end, those where an attempt failed at the end of each group."""
         failed = request.failed_endpoints
+        bound = self._load_bound(request)
         loaded = []
         failed_below_bound = []
         for endpoint in self._ring_order(request):
-            if self._is_loaded(request, endpoint):
+            if self._is_loaded(endpoint, bound):
                 loaded.append(endpoint)
             elif endpoint in failed:
                 failed_below_bound.append(endpoint)
@@ -65,13 +74,17 @@
         """Return the best prefill endpoint, None if there is no usable one."""
         return next(self.ordered(request), None)
 
-    def _is_loaded(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Return whether an endpoint is past its load bound, so that the next one on the ring is taken."""
+    def _load_bound(self, request: RequestState) -> LoadBound:
         max_delay = QUEUE_SHARE * request.request_class.latency_objective
         router_count = self.context.settings.router_count
         own_share = max_delay / SECOND * self.estimates.tokens_per_second / router_count
-        max_tokens = max(own_share, self.estimates.mean_prompt_tokens)
-        return endpoint.waiting_tokens > max_tokens or self.delays.delay(endpoint) > max_delay
+        return LoadBound(max_delay, max(own_share, self.estimates.mean_prompt_tokens))
+
+    def _is_loaded(self, endpoint: EndpointState, bound: LoadBound) -> bool:
+        """Return whether an endpoint is past its load bound."""
+        if endpoint.waiting_tokens > bound.max_tokens:
+            return True
+        return self.delays.delay(endpoint) > bound.max_delay
 
     def _expected_end(self, request: RequestState, endpoint: EndpointState) -> int:
         tokens = endpoint.waiting_tokens + self.estimates.uncached_tokens(request, endpoint)
