--- a/tests/routing/test_decode_selection.py
+++ b/tests/routing/test_decode_selection.py
@@ -1,14 +1,6 @@
 """The choice of a decode endpoint."""
 
-from policy_harness import (
-    DECODE_A,
-    DECODE_B,
-    FLEET,
-    PREFILL_A,
-    PREFILL_B,
-    PolicyHarness,
-    entry,
-)
+from policy_harness import DECODE_A, DECODE_B, FLEET, PREFILL_A, PREFILL_B, PolicyHarness, entry
 
 from llm_router.routing.events import AttemptStatus
 
--- a/tests/routing/test_gossip.py
+++ b/tests/routing/test_gossip.py
@@ -1,14 +1,6 @@
 """Gossip: symptoms of endpoints that router instances send one another."""
 
-from policy_harness import (
-    FLEET,
-    MS,
-    PREFILL_A,
-    PREFILL_B,
-    PolicyHarness,
-    S,
-    entry,
-)
+from policy_harness import FLEET, MS, PREFILL_A, PREFILL_B, PolicyHarness, S, entry
 
 from llm_router.routing import actions, events
 from llm_router.routing.events import AttemptStatus
--- a/tests/routing/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -1,11 +1,6 @@
 """Load probes before a prefill."""
 
-from policy_harness import (
-    FOUR_PREFILL_FLEET,
-    MS,
-    PolicyHarness,
-    S,
-)
+from policy_harness import FOUR_PREFILL_FLEET, MS, PolicyHarness, S
 
 from llm_router.routing import actions, events
 from llm_router.routing.events import AttemptStatus, LoadReport
--- a/tests/routing/test_prefill_ring.py
+++ b/tests/routing/test_prefill_ring.py
@@ -1,13 +1,7 @@
 """The points of endpoints on the prefill ring."""
 
 import pytest
-from policy_harness import (
-    FLEET,
-    MIXED,
-    PREFILL_A,
-    PolicyHarness,
-    entry,
-)
+from policy_harness import FLEET, MIXED, PREFILL_A, PolicyHarness, entry
 
 
 def test_mixed_endpoint_has_fewer_ring_points_than_prefill_endpoint():
--- a/tests/routing/test_prefill_selection.py
+++ b/tests/routing/test_prefill_selection.py
@@ -1,14 +1,6 @@
 """The choice of a prefill endpoint by prefix, session and load."""
 
-from policy_harness import (
-    FLEET,
-    MS,
-    PREFILL_A,
-    PREFILL_B,
-    PolicyHarness,
-    S,
-    entry,
-)
+from policy_harness import FLEET, MS, PREFILL_A, PREFILL_B, PolicyHarness, S, entry
 
 
 def test_first_turn_goes_to_a_prefill_endpoint(harness):
--- a/tests/routing/test_queueing_delay.py
+++ b/tests/routing/test_queueing_delay.py
@@ -1,10 +1,6 @@
 """Estimates of queueing delays."""
 
-from policy_harness import (
-    MS,
-    PREFILL_A,
-    S,
-)
+from policy_harness import MS, PREFILL_A, S
 
 from llm_router.routing.events import AttemptStatus
 
--- a/tests/routing/test_request_progress.py
+++ b/tests/routing/test_request_progress.py
@@ -1,20 +1,11 @@
 """The next step of a request whose attempt ended."""
 
 import pytest
-from policy_harness import (
-    DECODE_A,
-    DECODE_B,
-    PREFILL_A,
-    PREFILL_B,
-    PolicyHarness,
-    entry,
-)
+from policy_harness import DECODE_A, DECODE_B, PREFILL_A, PREFILL_B, PolicyHarness, entry
 
 from llm_router.routing import actions, events
 from llm_router.routing.events import AttemptStatus, EndpointStatus
-from llm_router.routing.settings import (
-    Idempotency,
-)
+from llm_router.routing.settings import Idempotency
 
 
 def test_prefilled_request_without_decode_endpoints_is_rejected_and_released(harness):
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -1,10 +1,6 @@
 """Reservations at decode endpoints during the prefill."""
 
-from policy_harness import (
-    DECODE_A,
-    MS,
-    PolicyHarness,
-)
+from policy_harness import DECODE_A, MS, PolicyHarness
 
 from llm_router.routing import actions, events
 from llm_router.routing.events import AttemptStatus
