--- a/tests/lifecycle/test_reducer.py
+++ b/tests/lifecycle/test_reducer.py
@@ -195,7 +195,7 @@
         lifecycle.feed(events.EndpointListReceived((removed,), False))
     lifecycle.feed(events.EndpointListReceived((), False))
     state = lifecycle.state
-    assert len(state.numbers) == len(state.endpoints) == len(state.policy.servers) == 3
+    assert len(state.numbers) == len(state.endpoints) == len(state.policy.endpoints) == 3
     before = state.numbers["r"]
     removed = endpoint("r", "prefill", EndpointStatus.REMOVED)
     lifecycle.feed(events.EndpointListReceived((removed,), False))
