--- a/llm_router/configuration.py
+++ b/llm_router/configuration.py
@@ -76,8 +76,8 @@
     xds_files: tuple[Path, ...] = ()  # clusters and endpoints in xDS form, for the v2 front
 
 
-RELOADED = ("discovery", "files", "limits")  # what a reload puts in force; the rest waits for a start
-IGNORED = ("seed", "known")  # what is new with each start, and of no use to a reload
+RELOADED = ("discovery", "xds_files", "limits")  # what a reload puts in force; the rest waits for a start
+IGNORED = ("seed", "initial_endpoints")  # what is new with each start, and of no use to a reload
 
 
 def load_configuration(
