--- a/llm_router/__main__.py
+++ b/llm_router/__main__.py
@@ -5,7 +5,6 @@
 import argparse
 import asyncio
 import gc
-import logging
 import os
 import sys
 from collections.abc import Callable
@@ -13,7 +12,7 @@
 from datetime import timedelta
 from pathlib import Path
 
-from llm_router import configuration, log, xds
+from llm_router import configuration, library_log, log, xds
 from llm_router.configuration import ConfigurationError, RouterConfig
 from llm_router.frontends import kserve, platform, registry_list
 from llm_router.transport import signals
@@ -124,7 +123,7 @@
 def main(arguments: list[str]) -> int:
     """Read the configuration and serve."""
     log.occupy_standard_streams()
-    logging.basicConfig(level=logging.WARNING, handlers=[log.Lines()])
+    library_log.install()
     parser = argparse.ArgumentParser(prog="llm_router", description="One router instance.")
     parser.add_argument("file", nargs="?", type=Path, help="serve KServe v2 as this file says")
     file = parser.parse_args(arguments).file
--- a/llm_router/log.py
+++ b/llm_router/log.py
@@ -1,77 +1,76 @@
-"""The log: one JSON line an event, on standard error. No call here blocks on the reader or raises."""
+"""The log: one JSON line for each event, on standard error.
+
+No call here blocks on the log's consumer or raises. `docs/on-call.md` lists the events."""
 
 from __future__ import annotations
 
-import logging
 import os
 import time
 from contextlib import suppress
+from dataclasses import dataclass
 from datetime import UTC, datetime, timedelta
 
 import orjson
 
-from llm_router.log_writer import LogWriter
+from llm_router.log_queue import LogQueue
 
 STANDARD_ERROR = 2
-FLUSH_WITHIN = timedelta(milliseconds=500)  # for the last lines at the end, if the reader stands still
-EVERY = timedelta(seconds=1)  # between two lines of an event that is told seldom
+FLUSH_TIMEOUT = timedelta(milliseconds=500)  # for the last lines at the end, if the consumer stalls
+RATE_LIMIT_INTERVAL = timedelta(seconds=1)  # between two lines of an event that is rate-limited
+
+
+@dataclass(slots=True)
+class RateLimitState:
+    """When an event was logged last, in monotonic seconds, and how many were suppressed since."""
 
+    logged_at: float = float("-inf")
+    suppressed: int = 0
 
-def encode(event: str, facts: dict[str, object]) -> bytes:
-    """Give a line; facts that JSON has no form for are given as Python writes them."""
-    line = {"at": datetime.now(UTC), "event": event, **facts}
+
+def encode(event: str, fields: dict[str, object]) -> bytes:
+    """Return a line; a field that JSON has no form for is written as Python's text of it."""
+    line = {"at": datetime.now(UTC), "event": event, **fields}
     try:
         return orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
     except (TypeError, ValueError):
-        line = {"at": datetime.now(UTC), "event": event, "facts": ascii(facts)}
+        line = {"at": datetime.now(UTC), "event": event, "facts": ascii(fields)}
         return orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE)
 
 
-writer = LogWriter(STANDARD_ERROR, lambda lost: encode("log_lines_dropped", {"lines": lost}))
+_queue = LogQueue(STANDARD_ERROR, lambda count: encode("log_lines_dropped", {"lines": count}))
+_rate_limits: dict[str, RateLimitState] = {}  # by event
 
 
-def occupy_standard_streams() -> None:
-    """Open the null device in place of standard streams that were closed before the start.
-
-    Guards against the first socket getting the number of standard error, and the log in its stream."""
-    with suppress(OSError):
-        while (opened := os.open(os.devnull, os.O_RDWR)) <= STANDARD_ERROR:
-            pass
-        os.close(opened)
+def emit(event: str, **fields: object) -> None:
+    """Log an event."""
+    _queue.put(encode(event, fields))
 
 
-def emit(event: str, **facts: object) -> None:
-    """Write a line; the page docs/on-call.md tells what each event means."""
-    writer.put(encode(event, facts))
+def emit_rate_limited(event: str, **fields: object) -> None:
+    """Log an event at most once a second; the field `more` counts those that were suppressed before it.
 
-
-lately: dict[str, tuple[float, int]] = {}  # by event: when it was said last, and how many came since
-
-
-def emit_rate_limited(event: str, **facts: object) -> None:
-    """Write a line at most once a second; `more` tells how many others of its kind went unsaid before it.
-
-    Guards against floods that would fill the log, and keep the one core at work with it."""
-    said, more = lately.get(event, (float("-inf"), 0))
-    if time.monotonic() - said < EVERY.total_seconds():
-        lately[event] = said, more + 1
+    A flood of events would fill the log, and keep the one core busy with it."""
+    state = _rate_limits.setdefault(event, RateLimitState())
+    now = time.monotonic()
+    if now - state.logged_at < RATE_LIMIT_INTERVAL.total_seconds():
+        state.suppressed += 1
         return
-    lately[event] = time.monotonic(), 0
-    emit(event, **facts, **({"more": more} if more else {}))
+    if state.suppressed:
+        fields["more"] = state.suppressed
+    _rate_limits[event] = RateLimitState(logged_at=now)
+    emit(event, **fields)
 
 
 def flush() -> None:
     """Wait for the last lines to leave, for a bounded time."""
-    writer.flush(FLUSH_WITHIN)
+    _queue.flush(FLUSH_TIMEOUT)
 
 
-class Lines(logging.Handler):
-    """Writes what the libraries log as lines of the same kind."""
+def occupy_standard_streams() -> None:
+    """Open the null device in place of standard streams that were closed before the start.
 
-    def emit(self, record: logging.LogRecord) -> None:
-        try:
-            text = record.getMessage()
-        except (TypeError, ValueError):  # a library's format and its arguments do not fit
-            text = str(record.msg)
-        error = record.exc_info and repr(record.exc_info[1])
-        emit("library", logger=record.name, level=record.levelname, text=text, error=error)
+    Otherwise the first socket would get standard error's number, and the log would go into its stream."""
+    with suppress(OSError):
+        while (opened := os.open(os.devnull, os.O_RDWR)) <= STANDARD_ERROR:
+            pass
+        os.close(opened)
--- a/tests/test_log_reader.py
+++ b/tests/test_log_without_consumer.py
@@ -1,4 +1,4 @@
-"""The program goes on when the reader of its log is gone, or stands still."""
+"""The router serves on when the consumer of its log is gone or stalls."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
     return (await program.exchange(message("GET /health/ready HTTP/1.1", Host="h")))[0].split()[1]
 
 
-def test_changes_are_still_heard_when_nobody_reads_the_log_any_more(tmp_path):
+def test_list_changes_count_after_the_log_pipe_was_closed(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             program.log_pipe.close()
@@ -32,14 +32,14 @@
 
 
 def fill_the_log(program):
-    """Stop reading the log, and give the list whose log line fills its pipe."""
+    """Stop reading the log, and return an endpoint list whose log line fills its pipe."""
     program.log_pipe.pause_reading()
     name = "x" * 60
     others = (registry_entry(f"{name}{n}", f"127.0.0.1:{n + 1}", "decode") for n in range(DRAINING_ENTRIES))
     return [*program.entries, *({**each, "status": "Terminating"} for each in others)]
 
 
-def test_requests_are_served_while_nobody_reads_the_log(tmp_path):
+def test_requests_are_served_while_the_log_consumer_stalls(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             listed = fill_the_log(program)
@@ -54,7 +54,7 @@
     run(test())
 
 
-def test_the_log_tells_how_many_lines_did_not_fit(tmp_path):
+def test_the_log_reports_how_many_lines_were_dropped(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             listed = fill_the_log(program)
@@ -63,10 +63,10 @@
                 await asyncio.sleep(0.2)
             assert await get_ready(program) == "200"
             program.log_pipe.resume_reading()
-            lost = await program.wait_for_log("log_lines_dropped")
-            assert lost["lines"] > 0
+            line = await program.wait_for_log("log_lines_dropped")
+            assert line["lines"] > 0
             assert await program.stop() == 0
-            rest = [json.loads(line) for line in (await within(program.process.stderr.read())).splitlines()]
-            assert rest[-1]["event"] == "stopped", "the last lines are written at the end"
+            last_lines = (await within(program.process.stderr.read())).splitlines()
+            assert json.loads(last_lines[-1])["event"] == "stopped", "the last lines are written at the end"
 
     run(test())
