--- a/llm_router/configuration.py
+++ b/llm_router/configuration.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from llm_router.field_codec import FieldError
+from llm_router.field_codec import FieldError, Fields
 from llm_router.routing.settings import Settings
 from llm_router.settings_codec import read_settings
 
@@ -143,7 +143,7 @@
 def settings(told: dict, where: str) -> Settings:
     """Check the settings, whose names and units are the simulator's."""
     try:
-        return read_settings(dict(flatten(told)))
+        return read_settings(Fields(dict(flatten(told))))
     except (FieldError, ValueError) as error:
         raise ConfigurationError(f"{where}{error}") from None
 
--- a/llm_router/frontends/platform.py
+++ b/llm_router/frontends/platform.py
@@ -16,7 +16,7 @@
 from llm_router.configuration import RouterConfig
 from llm_router.lifecycle.effects import OpenAttempt
 from llm_router.lifecycle.events import ClientDisconnected, RequestReceived
-from llm_router.load_gauges import report_of_gauges
+from llm_router.load_gauges import report_from_gauges
 from llm_router.routing.events import NO_REPORT, AttemptStatus, LoadReport
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
 from llm_router.transport.runtime import Runtime
@@ -53,7 +53,7 @@
         with suppress(ValueError):
             if isfinite(figure := float(value)):
                 load[name] = figure
-    return report_of_gauges(load)
+    return report_from_gauges(load)
 
 
 def read_report(body: bytes) -> LoadReport:
--- a/llm_router/load_gauges.py
+++ b/llm_router/load_gauges.py
@@ -1,4 +1,4 @@
-"""The names of the gauges in endpoints' load reports."""
+"""Translates the gauges in endpoints' load reports, which the platform and the simulator name alike."""
 
 from __future__ import annotations
 
@@ -6,9 +6,16 @@
 
 from llm_router.routing.events import LoadReport
 
+MEMORY_SHARE = "x0"  # the part of the KV memory in use
+QUEUED_PROMPT_KILOTOKENS = "x1"
+QUEUED_REQUESTS = "queue"
 
-def report_of_gauges(gauges: Mapping[str, float]) -> LoadReport:
-    """Return a load report from its gauges by name: `x0`, `x1` (thousands of tokens) and `queue`."""
-    thousands = gauges.get("x1")
-    queued_prompt_tokens = None if thousands is None else 1000 * thousands
-    return LoadReport(gauges.get("x0"), queued_prompt_tokens, gauges.get("queue"))
+
+def report_from_gauges(gauges: Mapping[str, float]) -> LoadReport:
+    """Return a load report from its gauges by name; gauges of other names are ignored."""
+    kilotokens = gauges.get(QUEUED_PROMPT_KILOTOKENS)
+    return LoadReport(
+        memory_share=gauges.get(MEMORY_SHARE),
+        queued_prompt_tokens=None if kilotokens is None else 1000 * kilotokens,
+        queued_requests=gauges.get(QUEUED_REQUESTS),
+    )
--- a/llm_router/settings_codec.py
+++ b/llm_router/settings_codec.py
@@ -1,8 +1,11 @@
-"""Reads the routing policy's settings; the one table of the names that deployments use for them."""
+"""Reads the routing policy's settings under the names that deployments use for them."""
 
 from __future__ import annotations
 
-from llm_router.field_codec import Fields, at_index, choice, flag, given, listed, number, text, ticks, whole
+from collections.abc import Iterable
+from typing import Any
+
+from llm_router.field_codec import Fields, present
 from llm_router.routing.settings import (
     ClassSettings,
     DeduplicationScope,
@@ -15,88 +18,132 @@
 
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.MIXED}
 IDEMPOTENCY = {"pure": Idempotency.SAFE, "token": Idempotency.KEYED, "side_effect": Idempotency.NONE}
+DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
+MUST_SUBSCRIBE = {"ask": True, "push": False}
 
-CLASS_FIELDS = {
-    "priority_weight": ("worth", number),
-    "late_weight": ("late_worth", number),
-    "deduplication_scope": (
-        "group",
-        lambda fields, key: choice(fields, key, {group.value: group for group in DeduplicationScope}),
-    ),
-    "deduplication_window": ("window", ticks),
-}
-TENANT_FIELDS = {"capacity_share": ("share", number), "requests_per_second": ("quota_per_s", number)}
-SETTING_FIELDS = {
-    "router_count": ("balancers", whole),
-    "router_index": ("position", whole),
-    "zone": ("my_zone", text),
-    "timer_resolution": ("tick", ticks),
-    "over_quota_weight": ("over_share_worth", number),
-    "max_attempts": ("allowed.attempts_cap", whole),
-    "may_cancel": ("allowed.cancel", flag),
-    "hedging": ("allowed.second_copies", flag),
-    "load_probes": ("allowed.probes", flag),
-    "gossip": ("allowed.may_tell", flag),
-    "retry_after": ("allowed.retry_after", flag),
-    "max_retry_after": ("allowed.max_retry_after", ticks),
-    "reservations": ("family_info.ahead", flag),
-    "stream_migration": ("family_info.resume", flag),
-    "append_prefill": ("family_info.local_read", flag),
-    "release_timeout": ("family_info.release_within", ticks),
-    "transfer_price": ("family_info.transfer_price", number),
-    "must_subscribe": ("discovery", lambda fields, key: choice(fields, key, {"ask": True, "push": False})),
-    "probe_price": ("prices.probe", number),
-    "answer_grace": ("rules.answer_slack", ticks),
-    "drain_grace": ("rules.drain_grace", ticks),
-    "slow_start_window": ("rules.cold", ticks),
-    "slow_start_share": ("rules.cold_share", number),
-    "overload_factor": ("rules.overload_factor", number),
-    "overload_window": ("rules.fall", ticks),
-}
-
-
-def part(fields: Fields, path: str) -> Fields:
-    """Give the settings below a path."""
-    return {name[len(path) :]: value for name, value in fields.items() if name.startswith(path)}
-
-
-def class_settings(fields: Fields, index: int) -> ClassSettings:
-    """Translate one class of requests."""
-    own = part(fields, f"lanes.{index}.")
-    key = "family_info.token_aim"
-    extra = given(at_index(fields, key, index), {"token_interval": (key, ticks)})
-    key = "family_info.aim_us_per_1000_prompt_tokens"
-    if stretch := at_index(fields, key, index):
-        extra["objective_per_1000_tokens"] = round(number(stretch, key) * 1000)
-    extra |= given(own, CLASS_FIELDS)
-    times = ticks(own, "target"), ticks(own, "hard_limit")
-    return ClassSettings(text(own, "name"), *times, choice(own, "idempotency", IDEMPOTENCY), **extra)
-
-
-def kind_settings(fields: Fields, name: str, index: int) -> KindSettings:
-    """Translate one kind of server."""
-    duty = at_index(fields, "family_info.duty_by_kind", index)
-    role = choice(duty, "family_info.duty_by_kind", ROLES)
-    key = "family_info.memory_tokens"
-    return KindSettings(name, role, **given(at_index(fields, key, index), {"memory_tokens": (key, ticks)}))
-
-
-def tenant_settings(fields: Fields, index: int) -> TenantSettings:
-    """Translate one tenant."""
-    own = part(fields, f"projects.{index}.")
-    return TenantSettings(text(own, "name"), **given(own, TENANT_FIELDS))
-
-
-def count(fields: Fields, name: str) -> range:
-    """Give the indices of a list of objects; an absent list is empty."""
-    return range(whole(fields, name)) if name in fields else range(0)
+# Lists beside `kinds` with one item a kind, and beside `lanes` with one item a class.
+ROLE_BY_KIND = "family_info.duty_by_kind"
+MEMORY_BY_KIND = "family_info.memory_tokens"
+TOKEN_INTERVAL_BY_CLASS = "family_info.token_aim"
+OBJECTIVE_PER_1000_BY_CLASS = "family_info.aim_us_per_1000_prompt_tokens"
+NANOSECONDS_PER_MICROSECOND = 1000
 
 
 def read_settings(fields: Fields) -> Settings:
-    """Translate what an instance is told at start."""
+    """Return the settings that a router instance is started with.
+
+    Raise FieldError for a field that cannot be read and ValueError for settings that are impossible."""
+    kinds = fields.items("kinds")
     return Settings(
-        kinds=tuple(kind_settings(fields, name, index) for index, name in enumerate(listed(fields, "kinds"))),
-        classes=tuple(class_settings(fields, index) for index in count(fields, "lanes.count")),
-        tenants=tuple(tenant_settings(fields, index) for index in count(fields, "projects.count")),
-        **given(fields, SETTING_FIELDS),
+        kinds=tuple(_read_kind(fields, name, index) for index, name in enumerate(kinds)),
+        classes=tuple(_read_class(fields, index) for index in _indices(fields, "lanes.count")),
+        tenants=tuple(_read_tenant(fields, index) for index in _indices(fields, "projects.count")),
+        **_read_instance(fields),
+        **_read_permissions(fields),
+        **_read_endpoint_facts(fields),
+        **_read_rules(fields),
+    )
+
+
+def _read_instance(fields: Fields) -> dict[str, Any]:
+    """Return the settings that concern this instance among the others."""
+    return present(
+        router_count=fields.optional("balancers", fields.integer),
+        router_index=fields.optional("position", fields.integer),
+        zone=fields.optional("my_zone", fields.text),
+        timer_resolution=fields.optional("tick", fields.rounded),
+        over_quota_weight=fields.optional("over_share_worth", fields.number),
+    )
+
+
+def _read_permissions(fields: Fields) -> dict[str, Any]:
+    """Return what the deployment allows the policy to do."""
+    return present(
+        max_attempts=fields.optional("allowed.attempts_cap", fields.integer),
+        may_cancel=fields.optional("allowed.cancel", fields.boolean),
+        hedging=fields.optional("allowed.second_copies", fields.boolean),
+        load_probes=fields.optional("allowed.probes", fields.boolean),
+        gossip=fields.optional("allowed.may_tell", fields.boolean),
+        retry_after=fields.optional("allowed.retry_after", fields.boolean),
+        max_retry_after=fields.optional("allowed.max_retry_after", fields.rounded),
+    )
+
+
+def _read_endpoint_facts(fields: Fields) -> dict[str, Any]:
+    """Return what the endpoints offer, and how they are discovered."""
+    return present(
+        reservations=fields.optional("family_info.ahead", fields.boolean),
+        stream_migration=fields.optional("family_info.resume", fields.boolean),
+        append_prefill=fields.optional("family_info.local_read", fields.boolean),
+        release_timeout=fields.optional("family_info.release_within", fields.rounded),
+        transfer_price=fields.optional("family_info.transfer_price", fields.number),
+        must_subscribe=fields.optional("discovery", lambda name: fields.choice(name, MUST_SUBSCRIBE)),
+        probe_price=fields.optional("prices.probe", fields.number),
+    )
+
+
+def _read_rules(fields: Fields) -> dict[str, Any]:
+    """Return the rules that the policy is measured by."""
+    return present(
+        answer_grace=fields.optional("rules.answer_slack", fields.rounded),
+        drain_grace=fields.optional("rules.drain_grace", fields.rounded),
+        slow_start_window=fields.optional("rules.cold", fields.rounded),
+        slow_start_share=fields.optional("rules.cold_share", fields.number),
+        overload_factor=fields.optional("rules.overload_factor", fields.number),
+        overload_window=fields.optional("rules.fall", fields.rounded),
     )
+
+
+def _read_class(fields: Fields, index: int) -> ClassSettings:
+    """Return one class of requests."""
+    interval = fields.item(TOKEN_INTERVAL_BY_CLASS, index)
+    token_interval = interval.optional(TOKEN_INTERVAL_BY_CLASS, interval.rounded)
+    objective_per_1000_tokens = _read_objective_per_1000_tokens(fields, index)
+    own = fields.below(f"lanes.{index}.")
+    optional = present(
+        token_interval=token_interval,
+        objective_per_1000_tokens=objective_per_1000_tokens,
+        priority_weight=own.optional("worth", own.number),
+        late_weight=own.optional("late_worth", own.number),
+        deduplication_scope=own.optional("group", lambda name: own.choice(name, DEDUPLICATION_SCOPES)),
+        deduplication_window=own.optional("window", own.rounded),
+    )
+    latency_objective = own.rounded("target")
+    deadline = own.rounded("hard_limit")
+    return ClassSettings(
+        name=own.text("name"),
+        latency_objective=latency_objective,
+        deadline=deadline,
+        idempotency=own.choice("idempotency", IDEMPOTENCY),
+        **optional,
+    )
+
+
+def _read_objective_per_1000_tokens(fields: Fields, index: int) -> int | None:
+    """Return in nanoseconds what a class's objective is longer by for each 1000 prompt tokens."""
+    item = fields.item(OBJECTIVE_PER_1000_BY_CLASS, index)
+    if OBJECTIVE_PER_1000_BY_CLASS not in item:
+        return None
+    return round(item.number(OBJECTIVE_PER_1000_BY_CLASS) * NANOSECONDS_PER_MICROSECOND)
+
+
+def _read_kind(fields: Fields, name: str, index: int) -> KindSettings:
+    """Return one kind of endpoint."""
+    role = fields.item(ROLE_BY_KIND, index).choice(ROLE_BY_KIND, ROLES)
+    memory = fields.item(MEMORY_BY_KIND, index)
+    return KindSettings(name, role, memory.optional(MEMORY_BY_KIND, memory.rounded))
+
+
+def _read_tenant(fields: Fields, index: int) -> TenantSettings:
+    """Return one tenant."""
+    own = fields.below(f"projects.{index}.")
+    return TenantSettings(
+        name=own.text("name"),
+        capacity_share=own.optional("share", own.number),
+        requests_per_second=own.optional("quota_per_s", own.number),
+    )
+
+
+def _indices(fields: Fields, count_name: str) -> Iterable[int]:
+    """Return the indices of a list of objects; an absent list is empty."""
+    return range(fields.integer(count_name)) if count_name in fields else ()
--- a/llm_router/simulator/__init__.py
+++ b/llm_router/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire, to and from the routing policy's messages."""
+"""The simulator's line protocol, to and from the routing policy's messages."""
--- a/llm_router/simulator/__main__.py
+++ b/llm_router/simulator/__main__.py
@@ -1,18 +1,18 @@
-"""The simulator's wire on standard input and output: `python -m llm_router.simulator`."""
+"""Serves the simulator's protocol on standard input and output: `python -m llm_router.simulator`."""
 
 from __future__ import annotations
 
 import sys
 
 from llm_router.field_codec import FieldError
-from llm_router.simulator.host import Host, Lines
+from llm_router.simulator.host import NumberedLines, SimulatorHost
 
 
 def main() -> int:
-    """Serve the wire on standard input and output."""
-    lines = Lines(sys.stdin)
+    """Answer batches until the input ends; return 1 after a line that cannot be read."""
+    lines = NumberedLines(sys.stdin)
     try:
-        Host().run(lines, sys.stdout)
+        SimulatorHost().run(lines, sys.stdout)
     except (FieldError, ValueError) as error:
         print(f"adapter: line {lines.number}: {error}", file=sys.stderr)
         return 1
--- a/llm_router/simulator/action_codec.py
+++ b/llm_router/simulator/action_codec.py
@@ -3,37 +3,53 @@
 from __future__ import annotations
 
 import base64
-from collections.abc import Callable
+from typing import assert_never
 
 from llm_router.routing import actions
 
-
-def write_tell(action: actions.SendGossip) -> str:
-    """Write a message to other routers."""
-    data = base64.b64encode(action.data).decode() or "-"
-    return f"dest={-1 if action.recipient is None else action.recipient} msg={data}"
-
-
-ACTIONS: dict[type, tuple[str, Callable[..., str]]] = {
-    actions.StartAttempt: (
-        "pass_on",
-        lambda action: f"req={action.request_id} within={action.timeout} engine={action.endpoint_id}",
-    ),
-    actions.Reserve: ("hold_place", lambda action: f"req={action.request_id} engine={action.endpoint_id}"),
-    actions.Release: ("unpin", lambda action: f"req={action.request_id}"),
-    actions.CancelAttempt: ("undo_send", lambda action: f"req={action.request_id} attempt={action.attempt}"),
-    actions.RejectRequest: ("shed", lambda action: f"req={action.request_id} pause={action.retry_after}"),
-    actions.FailRequest: ("drop_request", lambda action: f"req={action.request_id}"),
-    actions.MigrateStream: ("reassign", lambda action: f"req={action.request_id}"),
-    actions.SetTimer: ("wake_me", lambda action: f"fire_at={action.at} handle={action.timer_id}"),
-    actions.ProbeLoad: ("ping", lambda action: f"engine={action.endpoint_id}"),
-    actions.SendGossip: ("broadcast_to", write_tell),
-    actions.WatchEndpoints: ("observe", lambda action: "want=1"),
-    actions.LogLine: ("remark", lambda action: f"line={' '.join(action.text.split())}"),
-}
-
-
-def write_action(instance: str, action: actions.Action) -> str:
-    """Write one action as a line."""
-    name, fields = ACTIONS[type(action)]
-    return f"{name} router_id={instance} {fields(action)}"
+ALL_ROUTERS = -1  # the recipient of gossip that goes to every other router instance
+EMPTY_MESSAGE = "-"
+
+
+def encode_action(router_id: str, action: actions.Action) -> str:
+    """Return one action of a router instance as a line without its line feed."""
+    name, fields = _name_and_fields(action)
+    return f"{name} router_id={router_id} {fields}"
+
+
+def _name_and_fields(action: actions.Action) -> tuple[str, str]:  # noqa: C901, PLR0911, PLR0912 - a flat table
+    """Return an action's name and its fields on the wire."""
+    match action:
+        case actions.StartAttempt():
+            return "pass_on", f"req={action.request_id} within={action.timeout} engine={action.endpoint_id}"
+        case actions.Reserve():
+            return "hold_place", f"req={action.request_id} engine={action.endpoint_id}"
+        case actions.Release():
+            return "unpin", f"req={action.request_id}"
+        case actions.CancelAttempt():
+            return "undo_send", f"req={action.request_id} attempt={action.attempt}"
+        case actions.RejectRequest():
+            return "shed", f"req={action.request_id} pause={action.retry_after}"
+        case actions.FailRequest():
+            return "drop_request", f"req={action.request_id}"
+        case actions.MigrateStream():
+            return "reassign", f"req={action.request_id}"
+        case actions.SetTimer():
+            return "wake_me", f"fire_at={action.at} handle={action.timer_id}"
+        case actions.ProbeLoad():
+            return "ping", f"engine={action.endpoint_id}"
+        case actions.SendGossip():
+            return "broadcast_to", _gossip_fields(action)
+        case actions.WatchEndpoints():
+            return "observe", "want=1"
+        case actions.LogLine():
+            return "remark", f"line={' '.join(action.text.split())}"
+        case _:
+            assert_never(action)
+
+
+def _gossip_fields(action: actions.SendGossip) -> str:
+    """Return the fields of a message to other router instances."""
+    recipient = ALL_ROUTERS if action.recipient is None else action.recipient
+    data = base64.b64encode(action.data).decode() or EMPTY_MESSAGE
+    return f"dest={recipient} msg={data}"
--- a/llm_router/simulator/event_codec.py
+++ b/llm_router/simulator/event_codec.py
@@ -5,14 +5,19 @@
 import base64
 import binascii
 from collections.abc import Callable
+from typing import NamedTuple
 
-from llm_router.field_codec import FieldError, Fields, choice, flag, given, listed, number, text, ticks, whole
-from llm_router.load_gauges import report_of_gauges
+from llm_router.field_codec import FieldError, Fields, present
+from llm_router.load_gauges import report_from_gauges
 from llm_router.routing import events
 from llm_router.routing.events import AttemptStatus, ConnectionFault, EndpointStatus, LoadReport
 
-STATES = {"live": EndpointStatus.READY, "quiescing": EndpointStatus.DRAINING, "dead": EndpointStatus.REMOVED}
-STATUSES = {
+ENDPOINT_STATUSES = {
+    "live": EndpointStatus.READY,
+    "quiescing": EndpointStatus.DRAINING,
+    "dead": EndpointStatus.REMOVED,
+}
+ATTEMPT_STATUSES = {
     "done": AttemptStatus.OK,
     "err": AttemptStatus.ERROR,
     "busy": AttemptStatus.OVERLOADED,
@@ -23,114 +28,136 @@
     "skipped": AttemptStatus.NOT_SENT,
     "handover": AttemptStatus.PREFILLED,
 }
-RESERVED = {"1": True, "2": False}
-# What `info` means hangs on how the attempt ended.
+RESERVATION_GRANTED = {"1": True, "2": False}
+# The field `info` means one of three things, by how the attempt ended.
 CACHED_TOKENS_IN_INFO = (AttemptStatus.OK, AttemptStatus.PREFILLED)
-STATE_MISSING = 1
 CONNECTION_FAULT_IN_INFO = (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
 CONNECTION_FAULTS = {1: ConnectionFault.STALE, 2: ConnectionFault.LOCAL}
-REQUEST_FIELDS = {
-    "session": ("thread", text),
-    "prefix": ("prefix", text),
-    "prefix_tokens": ("shared_len", whole),
-    "expected_duration": ("estimate", ticks),
-    "tenant": ("party", text),
-    "is_retry": ("repeat", flag),
-    "resumed": ("came_back", flag),
-}
+STATE_MISSING_INFO = 1  # of an overloaded endpoint: it does not have the KV state
+EMPTY_MESSAGE = "-"
 
 
-def read_entry(fields: Fields) -> events.EndpointEntry:
-    """Translate a line of a server list."""
-    return events.EndpointEntry(
-        endpoint_id=whole(fields, "engine"),
-        kind=text(fields, "kind"),
-        zone=text(fields, "dc"),
-        cell=whole(fields, "unit_group"),
-        status=choice(fields, "condition", STATES),
-        **given(fields, {"weight": ("weight", number), "started_at": ("born", ticks)}),
-    )
+class AttemptKey(NamedTuple):
+    """The fields that name an attempt, in the order of the events' own fields."""
 
+    request_id: str
+    attempt: int
+    endpoint_id: int
 
-def read_gauge(fields: Fields) -> LoadReport:
-    """Translate a load report; there may be none."""
-    pairs = (pair.partition(":") for pair in listed(fields, "gauge"))
-    return report_of_gauges({name: number({name: value}, name) for name, _, value in pairs})
 
+def decode_event(name: str, fields: Fields) -> events.Event:
+    """Return the event that a line of this name stands for; raise FieldError for a malformed field."""
+    return DECODERS[name](fields)
 
-def read_request(fields: Fields) -> events.RequestReceived:
-    """Translate a request."""
-    return events.RequestReceived(
-        text(fields, "req"),
-        text(fields, "priority"),
-        whole(fields, "n_prompt"),
-        whole(fields, "max_tokens"),
-        ticks(fields, "grace"),
-        **given(fields, REQUEST_FIELDS),
+
+def decode_entry(fields: Fields) -> events.EndpointEntry:
+    """Return one entry of an endpoint list."""
+    return events.EndpointEntry(
+        endpoint_id=fields.integer("engine"),
+        kind=fields.text("kind"),
+        zone=fields.text("dc"),
+        cell=fields.integer("unit_group"),
+        status=fields.choice("condition", ENDPOINT_STATUSES),
+        **present(
+            weight=fields.optional("weight", fields.number),
+            started_at=fields.optional("born", fields.rounded),
+        ),
     )
 
 
-def attempt_fields(fields: Fields) -> tuple[str, int, int]:
-    """Give what names an attempt."""
-    return text(fields, "req"), whole(fields, "attempt"), whole(fields, "engine")
+def _decode_request(fields: Fields) -> events.RequestReceived:
+    return events.RequestReceived(
+        request_id=fields.text("req"),
+        class_name=fields.text("priority"),
+        prompt_tokens=fields.integer("n_prompt"),
+        max_output_tokens=fields.integer("max_tokens"),
+        time_remaining=fields.rounded("grace"),
+        **present(
+            session=fields.optional("thread", fields.text),
+            prefix=fields.optional("prefix", fields.text),
+            prefix_tokens=fields.optional("shared_len", fields.integer),
+            expected_duration=fields.optional("estimate", fields.rounded),
+            tenant=fields.optional("party", fields.text),
+            is_retry=fields.optional("repeat", fields.boolean),
+            resumed=fields.optional("came_back", fields.boolean),
+        ),
+    )
 
 
-def read_first(fields: Fields) -> events.FirstToken:
-    """Translate the begin of a stream."""
-    return events.FirstToken(*attempt_fields(fields), ticks(fields, "wait_time"))
+def _decode_first_token(fields: Fields) -> events.FirstToken:
+    return events.FirstToken(*_attempt_key(fields), elapsed=fields.rounded("wait_time"))
 
 
-def read_outcome(fields: Fields) -> events.AttemptEnded:
-    """Translate the end of an attempt."""
-    status = choice(fields, "ending", STATUSES)
-    closed = flag(fields, "closed") if fields.get("closed") else False
-    info = whole(fields, "info") if fields.get("info") else 0
+def _decode_attempt_ended(fields: Fields) -> events.AttemptEnded:
+    status = fields.choice("ending", ATTEMPT_STATUSES)
+    closed = fields.optional("closed", fields.boolean) or False
+    info = fields.optional("info", fields.integer) or 0
     connection_fault = ConnectionFault.NONE
     if status in CONNECTION_FAULT_IN_INFO:
         connection_fault = CONNECTION_FAULTS.get(info, ConnectionFault.NONE)
     return events.AttemptEnded(
-        *attempt_fields(fields),
+        *_attempt_key(fields),
         status,
-        ticks(fields, "wait_time"),
+        fields.rounded("wait_time"),
         closed,
         cached_tokens=info if status in CACHED_TOKENS_IN_INFO else 0,
-        state_missing=status is AttemptStatus.OVERLOADED and info == STATE_MISSING,
+        state_missing=status is AttemptStatus.OVERLOADED and info == STATE_MISSING_INFO,
         connection_fault=connection_fault,
-        load_report=read_gauge(fields),
+        load_report=_load_report(fields),
     )
 
 
-def read_place(fields: Fields) -> events.ReservationResult:
-    """Translate the answer to a hold."""
-    return events.ReservationResult(*attempt_fields(fields), bool(choice(fields, "topic", RESERVED)))
+def _decode_reservation_result(fields: Fields) -> events.ReservationResult:
+    return events.ReservationResult(*_attempt_key(fields), fields.choice("topic", RESERVATION_GRANTED))
+
 
+def _decode_client_disconnected(fields: Fields) -> events.ClientDisconnected:
+    return events.ClientDisconnected(fields.text("req"))
 
-def read_probed(fields: Fields) -> events.LoadProbeEnded:
-    """Translate the result of a probe."""
-    status = choice(fields, "ending", STATUSES)
+
+def _decode_timer_fired(fields: Fields) -> events.TimerFired:
+    return events.TimerFired(fields.integer("handle"))
+
+
+def _decode_load_probe_ended(fields: Fields) -> events.LoadProbeEnded:
+    status = fields.choice("ending", ATTEMPT_STATUSES)
     return events.LoadProbeEnded(
-        whole(fields, "engine"), status, ticks(fields, "wait_time"), read_gauge(fields)
+        fields.integer("engine"), status, fields.rounded("wait_time"), _load_report(fields)
     )
 
 
-def read_peer(fields: Fields) -> events.GossipReceived:
-    """Translate a message of another router."""
-    data = text(fields, "msg")
+def _decode_gossip(fields: Fields) -> events.GossipReceived:
+    message = fields.text("msg")
+    sender = fields.integer("origin_peer")
+    if message == EMPTY_MESSAGE:
+        return events.GossipReceived(sender, b"")
     try:
-        return events.GossipReceived(
-            whole(fields, "origin_peer"), b"" if data == "-" else base64.b64decode(data, validate=True)
-        )
+        return events.GossipReceived(sender, base64.b64decode(message, validate=True))
     except binascii.Error:
-        raise FieldError(f"msg={data} is not base64") from None
-
-
-EVENTS: dict[str, Callable[[Fields], events.Event]] = {
-    "query": read_request,
-    "headers": read_first,
-    "report_back": read_outcome,
-    "hold_result": read_place,
-    "timed_out_client": lambda fields: events.ClientDisconnected(text(fields, "req")),
-    "bell": lambda fields: events.TimerFired(whole(fields, "handle")),
-    "probed": read_probed,
-    "note_from": read_peer,
+        raise FieldError(f"msg={message} is not base64") from None
+
+
+def _attempt_key(fields: Fields) -> AttemptKey:
+    """Return the fields that name an attempt."""
+    return AttemptKey(fields.text("req"), fields.integer("attempt"), fields.integer("engine"))
+
+
+def _load_report(fields: Fields) -> LoadReport:
+    """Return the load report of a line; without the field `gauge` it is empty."""
+    gauges: dict[str, float] = {}
+    for gauge in fields.items("gauge"):
+        name, _, value = gauge.partition(":")
+        gauges[name] = Fields({name: value}).number(name)
+    return report_from_gauges(gauges)
+
+
+DECODERS: dict[str, Callable[[Fields], events.Event]] = {
+    "query": _decode_request,
+    "headers": _decode_first_token,
+    "report_back": _decode_attempt_ended,
+    "hold_result": _decode_reservation_result,
+    "timed_out_client": _decode_client_disconnected,
+    "bell": _decode_timer_fired,
+    "probed": _decode_load_probe_ended,
+    "note_from": _decode_gossip,
 }
--- a/tests/simulator/test_simulator_codecs.py
+++ b/tests/simulator/test_simulator_codecs.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written batches."""
+"""The simulator's protocol on hand-written batches."""
 
 import io
 import subprocess
@@ -6,16 +6,16 @@
 
 import pytest
 
-from llm_router.field_codec import split_fields
+from llm_router.field_codec import Fields
 from llm_router.routing import actions, events
 from llm_router.routing.events import AttemptStatus, LoadReport
 from llm_router.routing.settings import ClassSettings, Idempotency
 from llm_router.settings_codec import read_settings
-from llm_router.simulator.action_codec import write_action
-from llm_router.simulator.event_codec import EVENTS
-from llm_router.simulator.host import Host, Lines
+from llm_router.simulator.action_codec import encode_action
+from llm_router.simulator.event_codec import decode_event
+from llm_router.simulator.host import NumberedLines, SimulatorHost
 
-CONF = (
+SETTINGS = (
     "allowed.attempts_cap=5 allowed.cancel=true balancers=2 family_info.duty_by_kind=read,write "
     "family_info.local_read=true family_info.memory_tokens=190000,150000 family_info.token_aim=60000000 "
     "family_info.aim_us_per_1000_prompt_tokens=40000.0 kinds=prefill,decode lanes.count=1 lanes.0.group=all "
@@ -23,13 +23,13 @@
     "lanes.0.worth=2.0 lanes.0.window=5000000000 my_zone=z position=0 rules.cold=14000000000 tick=2000000 "
     "projects.count=1 projects.0.name=t projects.0.quota_per_s=8.0 discovery=push some.new_key=5"
 )
-START = f"""enlist router_id=router-1 random_seed=5 {CONF}
+START = f"""enlist router_id=router-1 random_seed=5 {SETTINGS}
 list slot=0 records=2
 entry engine=7 dc=z kind=prefill unit_group=0 condition=live weight=1 new_field=x
 entry kind=decode engine=8 condition=live dc=z unit_group=0 born=0
 fleet router_id=router-1 kind=Persisted revision=1 slot=0
 """
-ASK = (
+REQUEST = (
     "query router_id=router-1 max_tokens=256 req=rq_a n_prompt=1800 shared_len=1200 prefix=2b8e6401d9f37c10 "
     "party=t priority=chat thread=91f03b7c55d20a64 grace=4000000000\n"
 )
@@ -39,47 +39,48 @@
     return f"begin_batch clock={clock}\n{events}eof_batch\n"
 
 
-def play(*batches):
-    out = io.StringIO()
-    Host().run(Lines(io.StringIO("".join(batches))), out)
-    return out.getvalue()
+def answer(*batches):
+    output = io.StringIO()
+    SimulatorHost().run(NumberedLines(io.StringIO("".join(batches))), output)
+    return output.getvalue()
 
 
 def test_an_empty_batch_is_answered():
-    assert play(batch("")) == "ok\n"
+    assert answer(batch("")) == "ok\n"
 
 
-def test_a_request_goes_through_reader_and_writer():
-    read = "report_back router_id=router-1 req=rq_a ending=handover info=0 wait_time=90 engine=7 attempt=0\n"
+def test_a_request_goes_through_prefill_and_decode():
+    prefilled = (
+        "report_back router_id=router-1 req=rq_a ending=handover info=0 wait_time=90 engine=7 attempt=0\n"
+    )
     first = "headers router_id=router-1 req=rq_a attempt=1 engine=8 wait_time=50\n"
     done = "report_back closed=1 req=rq_a ending=done router_id=router-1 wait_time=90 engine=8 attempt=1\n"
-    replies = play(batch(START + ASK), batch(read, 2000), batch(first, 3000), batch(done, 4000))
+    replies = answer(batch(START + REQUEST), batch(prefilled, 2000), batch(first, 3000), batch(done, 4000))
     assert "pass_on router_id=router-1 req=rq_a within=0 engine=7" in replies
     assert "pass_on router_id=router-1 req=rq_a within=0 engine=8" in replies
     assert replies.count("ok\n") == 4
 
 
 def test_field_order_does_not_matter():
-    head, *fields = ASK.split()
-    assert play(batch(START + ASK)) == play(batch(START + " ".join([head, *reversed(fields)]) + "\n"))
+    head, *fields = REQUEST.split()
+    assert answer(batch(START + REQUEST)) == answer(batch(START + " ".join([head, *reversed(fields)]) + "\n"))
 
 
-def test_a_list_number_used_again_within_a_batch_counts_in_order():
+def test_a_list_slot_that_is_reused_within_a_batch_counts_in_order():
     second = START.replace("router-1", "router-2").replace("engine=7", "engine=17")
-    replies = play(batch(START + second + ASK + ASK.replace("router-1", "router-2")))
+    replies = answer(batch(START + second + REQUEST + REQUEST.replace("router-1", "router-2")))
     assert "router-1 req=rq_a within=0 engine=7" in replies
     assert "router-2 req=rq_a within=0 engine=17" in replies
 
 
 def test_a_restart_within_a_batch_forgets_everything():
-    host = Host()
-    text = batch(START + ASK + "destroy router_id=router-1\n" + START)
-    host.run(Lines(io.StringIO(text)), io.StringIO())
-    assert host.routers["router-1"].jobs == {} and len(host.routers["router-1"].servers) == 2
+    fresh = answer(batch(START + REQUEST))
+    restarted = answer(batch(START + REQUEST + "destroy router_id=router-1\n" + START + REQUEST))
+    assert "req=rq_a" in fresh and restarted == fresh.removesuffix("ok\n") + fresh
 
 
-def test_settings_keep_the_interfaces_values_where_absent():
-    settings = read_settings(split_fields(CONF.split()))
+def test_absent_settings_have_their_defaults():
+    settings = read_settings(Fields.parse(SETTINGS.split()))
     assert settings.classes == (
         ClassSettings(
             "chat",
@@ -119,9 +120,9 @@
         ),
     ],
 )
-def test_each_event_is_translated(line, event):
+def test_each_event_is_decoded(line, event):
     name, *fields = line.split()
-    assert EVENTS[name](split_fields(fields)) == event
+    assert decode_event(name, Fields.parse(fields)) == event
 
 
 @pytest.mark.parametrize(
@@ -142,8 +143,8 @@
         (actions.LogLine("two\nlines"), "remark router_id=r line=two lines"),
     ],
 )
-def test_each_action_is_written(action, line):
-    assert write_action("r", action) == line
+def test_each_action_is_encoded(action, line):
+    assert encode_action("r", action) == line
 
 
 @pytest.mark.parametrize(
@@ -154,7 +155,7 @@
         (batch("dance router_id=router-1\n"), 2, "dance"),
         (batch(START + "bell router_id=router-1 handle=x\n"), 7, "handle"),
         (batch(START + "bell router_id=router-1 handle\n"), 7, "handle"),
-        (batch(START + ASK.replace("n_prompt=1800 ", "")), 7, "n_prompt"),
+        (batch(START + REQUEST.replace("n_prompt=1800 ", "")), 7, "n_prompt"),
         (batch(START.replace("condition=live", "condition=odd", 1)), 4, "odd"),
         (batch(START.replace("records=2", "records=3")), 6, "entry"),
         (batch(START.replace("slot=0\n", "slot=4\n")), 6, "slot"),
@@ -163,7 +164,7 @@
         ("begin_batch clock=5\n", 1, "ends"),
     ],
 )
-def test_what_is_malformed_is_told_plainly(text, line, word):
+def test_a_malformed_line_is_named_in_one_line(text, line, word):
     command = [sys.executable, "-m", "llm_router.simulator"]
     run = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
     assert run.returncode != 0 and run.stdout == ""
