--- a/llm_router/__main__.py
+++ b/llm_router/__main__.py
@@ -35,10 +35,12 @@
         self.front, self.watch = self.beside() if config.xds_files else self.on_platform()
         self.watching = Supervisor("watch", self.watch.watch)
 
-    def on_platform(self) -> tuple[platform.Platform, Discovery]:
+    def on_platform(self) -> tuple[platform.PlatformFrontend, Discovery]:
         """Put the platform's front and its discovery together."""
         config = self.config
-        runtime = Runtime(config, self.pool, platform.reservation_path, platform.STATS, platform.read_report)
+        runtime = Runtime(
+            config, self.pool, platform.reservation_path, platform.LOAD_REPORT_PATH, platform.parse_load_probe
+        )
         # Guards against requests that take the last descriptor, so that no list comes any more.
         self.pools.append(agent := ConnectionPool(config, DISCOVERY_SOCKETS))
         watch = Discovery(agent, "{}:{}".format(*config.discovery), registry_list.read_list, runtime.feed)
@@ -47,11 +49,11 @@
                 watch.accept_list({**config.initial_endpoints, "snapshot": True})
             except ValueError as error:
                 raise ConfigurationError(f"known: {error}") from None
-        return platform.Platform(config, runtime), watch
+        return platform.PlatformFrontend(config, runtime), watch
 
-    def beside(self) -> tuple[kserve.KServe, xds.Files]:
+    def beside(self) -> tuple[kserve.KServeFrontend, xds.Files]:
         """Put the v2 front and its files together; at the start they must be whole."""
-        front = kserve.KServe(self.config, self.pool)
+        front = kserve.KServeFrontend(self.config, self.pool)
         watch = xds.Files(*self.config.xds_files, front.feed)
         if broken := watch.look():
             raise ConfigurationError(broken)
--- a/llm_router/frontends/__init__.py
+++ b/llm_router/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The fronts: each turns a wire's requests into the core's events and its effects into answers."""
+"""The front ends: each translates a client protocol to the lifecycle's events, and its effects to answers."""
--- /dev/null
+++ b/llm_router/frontends/kserve/frontend.py
@@ -0,0 +1,130 @@
+"""Serves v2 clients: each model is a cluster of endpoints with a runtime of its own."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+from itertools import count
+
+from aiohttp import web
+
+from llm_router import __version__
+from llm_router.configuration import RouterConfig
+from llm_router.frontends.kserve.inference_request import parse_inference, parse_inference_header
+from llm_router.frontends.kserve.proxied_request import KServeRequest
+from llm_router.frontends.kserve.responses import error_response, json_response, overloaded_response
+from llm_router.frontends.kserve.routes import Operation, find_route
+from llm_router.frontends.request_handling import InvalidRequestError, after_queueing, run_request
+from llm_router.lifecycle.events import EndpointListReceived
+from llm_router.routing.events import EndpointStatus
+from llm_router.routing.settings import Role
+from llm_router.transport.pool import ConnectionPool
+from llm_router.transport.runtime import Runtime
+from llm_router.transport.server import FrontendServer, target
+
+SERVER_NAME = "hoplane"  # the program's first name: clients may check it
+EXTENSIONS = ["binary_tensor_data"]
+METADATA_TIMEOUT = timedelta(seconds=1)  # for one endpoint to answer
+NO_METADATA_BACKOFF = timedelta(seconds=1)
+
+
+class KServeFrontend:
+    """The front end of all models; a model is known from the first endpoint list of its cluster on."""
+
+    def __init__(self, config: RouterConfig, pool: ConnectionPool) -> None:
+        self.config, self.pool = config, pool
+        self.classes = {each.name: each for each in config.settings.classes}
+        self.decoding_kinds = {kind.name for kind in config.settings.kinds if kind.role is not Role.PREFILL}
+        self.server = FrontendServer(config, self.handle, error_response)
+        self.models: dict[str, Runtime] = {}
+        self._request_numbers = count(1)
+
+    @property
+    def runtimes(self) -> list[Runtime]:
+        """The runtimes that have requests out."""
+        return list(self.models.values())
+
+    def feed(self, model: str, endpoint_list: EndpointListReceived) -> None:
+        """Take a cluster's endpoint list; a cluster that was not known is a new model."""
+        if model not in self.models:
+            self.models[model] = Runtime(self.config, self.pool)
+        self.models[model].feed(endpoint_list)
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer one request."""
+        route = find_route(request.path)
+        if route is None:
+            return error_response(404, "unknown path", close=True)
+        if request.method != route.operation.method:
+            return error_response(405, f"only {route.operation.method}", close=True)
+        if route.model is None:
+            return self._describe_server(route.operation)
+        return await self._handle_model(request, route.model, route.operation)
+
+    async def _handle_model(
+        self, request: web.BaseRequest, model: str, operation: Operation
+    ) -> web.StreamResponse:
+        """Answer a request about one model."""
+        runtime = self.models.get(model)
+        if runtime is None:
+            return error_response(404, f"unknown model {model}")
+        if operation is Operation.MODEL_READY:
+            is_ready = self._is_ready(runtime)
+            return json_response({"name": model, "ready": is_ready}, 200 if is_ready else 503)
+        if operation is Operation.MODEL_METADATA:
+            return await self._describe_model(runtime, target(request))
+        return await self._infer_within_memory(runtime, request)
+
+    def _describe_server(self, operation: Operation) -> web.Response:
+        """Answer a request about the server as a whole."""
+        if operation is Operation.SERVER_LIVE:
+            return json_response({"live": True})
+        if operation is Operation.SERVER_READY:
+            has_ready_model = any(self._is_ready(runtime) for runtime in self.models.values())
+            is_ready = not self.server.shutting_down and has_ready_model
+            return json_response({"ready": is_ready}, 200 if is_ready else 503)
+        return json_response({"name": SERVER_NAME, "version": __version__, "extensions": EXTENSIONS})
+
+    def _is_ready(self, runtime: Runtime) -> bool:
+        """Return whether a model has an endpoint that may answer."""
+        return any(
+            endpoint.status is EndpointStatus.READY and endpoint.kind in self.decoding_kinds
+            for endpoint in runtime.state.endpoints.values()
+        )
+
+    async def _describe_model(self, runtime: Runtime, path: str) -> web.Response:
+        """Pass on the metadata that the first endpoint to answer has of a model."""
+        for endpoint in list(runtime.state.endpoints.values()):
+            if endpoint.status is not EndpointStatus.READY:
+                continue
+            response = await self.pool.fetch(endpoint.address, path, METADATA_TIMEOUT)
+            if response is not None:
+                status, body = response
+                return web.Response(status=status, body=body, content_type="application/json")
+        return error_response(503, "no endpoint tells of this model", NO_METADATA_BACKOFF)
+
+    async def _infer_within_memory(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
+        """Run an inference if the memory for bodies has room for it."""
+        size = self.server.body_size_bound(request)
+        if not self.server.body_memory.reserve(size):
+            return overloaded_response()
+        try:
+            return await self._infer(runtime, request)
+        finally:
+            self.server.body_memory.release(size)
+
+    async def _infer(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
+        """Read an inference, run it and return its final answer."""
+        body = await self.server.read_body(request)
+        if isinstance(body, web.Response):
+            return error_response(body.status, (body.text or "").strip(), close=True)
+        try:
+            inference = parse_inference_header(request.headers, body)
+            request_id = str(next(self._request_numbers))
+            received = parse_inference(request_id, inference, len(body), self.classes)
+        except InvalidRequestError as error:
+            return error_response(400, str(error), close=True)
+        await self.server.detect_disconnect(request)
+        if len(runtime.proxied_requests) >= self.config.max_open_requests:
+            return overloaded_response()
+        received = after_queueing(received, self.server.queueing_delay(request))
+        return await run_request(runtime, KServeRequest(request, received, body))
--- /dev/null
+++ b/llm_router/frontends/platform/client_request.py
@@ -0,0 +1,85 @@
+"""Reads the headers of a client's request."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Container, Mapping
+from datetime import timedelta
+
+from llm_router.frontends.platform.names import (
+    FACTS,
+    REQUEST_ID,
+    RESUMED,
+    RETRY,
+    SERVICE_CLASS,
+    SESSION,
+    TIME_REMAINING_MS,
+)
+from llm_router.frontends.request_handling import MAX_KEY_LENGTH, InvalidRequestError, usable_time
+from llm_router.lifecycle.events import RequestReceived
+
+REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9_.:-]{1,128}")
+MAX_DIGITS = 9  # of a whole number
+
+
+def parse_request(headers: Mapping[str, str], class_names: Container[str]) -> RequestReceived:
+    """Return the request that the headers describe; raise InvalidRequestError for the first one at fault."""
+    request_id = headers.get(REQUEST_ID, "")
+    if not REQUEST_ID_PATTERN.fullmatch(request_id):
+        raise InvalidRequestError(f"{REQUEST_ID}: is missing or malformed")
+    class_name = headers.get(SERVICE_CLASS, "")
+    if class_name not in class_names:
+        raise InvalidRequestError(f"{SERVICE_CLASS}: is not a class of this service")
+    time_remaining = _time_remaining(headers)
+    facts = _facts(headers)
+    prompt_tokens = _token_count(facts, "prompt_len")
+    prefix_tokens = _token_count({"prefix_len": "0", **facts}, "prefix_len")
+    max_output_tokens = _token_count(facts, "max_out")
+    session = headers.get(SESSION, "")
+    prefix = facts.get("prefix", "")
+    if max(len(session), len(prefix)) > MAX_KEY_LENGTH:
+        raise InvalidRequestError(f"{SESSION} and prefix: are at most {MAX_KEY_LENGTH} characters")
+    retry = headers.get(RETRY)
+    return RequestReceived(
+        request_id=request_id,
+        class_name=class_name,
+        prompt_tokens=prompt_tokens,
+        max_output_tokens=max_output_tokens,
+        time_remaining=usable_time(time_remaining),
+        session=session or None,
+        prefix=prefix or None,
+        prefix_tokens=prefix_tokens,
+        is_retry=retry is not None and retry != RESUMED,
+        resumed=retry == RESUMED,
+    )
+
+
+def _time_remaining(headers: Mapping[str, str]) -> timedelta:
+    """Return how long the client still waits."""
+    milliseconds = headers.get(TIME_REMAINING_MS, "")
+    if not _is_integer(milliseconds):
+        raise InvalidRequestError(f"{TIME_REMAINING_MS}: must be whole milliseconds")
+    return timedelta(milliseconds=int(milliseconds))
+
+
+def _facts(headers: Mapping[str, str]) -> dict[str, str]:
+    """Return the facts by name, as they are written."""
+    facts = {}
+    for fact in headers.get(FACTS, "").split(","):
+        name, _, value = fact.strip().partition("=")
+        if name:
+            facts[name] = value
+    return facts
+
+
+def _token_count(facts: Mapping[str, str], name: str) -> int:
+    """Return a length in tokens, which must be there."""
+    value = facts.get(name, "")
+    if not _is_integer(value):
+        raise InvalidRequestError(f"{FACTS}: {name} must be a whole number")
+    return int(value)
+
+
+def _is_integer(text: str) -> bool:
+    """Return whether a text consists of a bounded number of ASCII digits."""
+    return text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
--- /dev/null
+++ b/llm_router/frontends/platform/frontend.py
@@ -0,0 +1,83 @@
+"""Serves the platform's clients."""
+
+from __future__ import annotations
+
+import orjson
+from aiohttp import web
+
+from llm_router.configuration import RouterConfig
+from llm_router.frontends.platform.client_request import parse_request
+from llm_router.frontends.platform.names import CHAT_PATH, READINESS_PATH
+from llm_router.frontends.platform.proxied_request import PlatformRequest
+from llm_router.frontends.request_handling import InvalidRequestError, after_queueing, run_request
+from llm_router.lifecycle.events import RequestReceived
+from llm_router.transport.runtime import Runtime
+from llm_router.transport.server import FrontendServer, problem
+
+
+class PlatformFrontend:
+    """The front end of one runtime, which serves all classes of requests."""
+
+    def __init__(self, config: RouterConfig, runtime: Runtime) -> None:
+        self.config, self.runtime = config, runtime
+        self.class_names = {each.name for each in config.settings.classes}
+        self.server = FrontendServer(config, self.handle, problem)
+
+    @property
+    def runtimes(self) -> list[Runtime]:
+        """The runtimes that have requests out."""
+        return [self.runtime]
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer one request; one that is malformed or too much at once reaches no endpoint."""
+        if request.path == READINESS_PATH:
+            return web.Response(status=503 if self.server.shutting_down else 200)
+        if request.path != CHAT_PATH:
+            return problem(404, "unknown path", close=True)
+        if request.method != "POST":
+            return problem(405, "only POST", close=True)
+        try:
+            received = parse_request(request.headers, self.class_names)
+        except InvalidRequestError as error:
+            return problem(400, str(error), close=True)
+        size = self.server.body_size_bound(request)
+        if not self.server.body_memory.reserve(size):
+            return _overloaded()
+        try:
+            return await self._chat(request, received)
+        finally:
+            self.server.body_memory.release(size)
+
+    async def _chat(self, request: web.BaseRequest, received: RequestReceived) -> web.StreamResponse:
+        """Read the body of a chat request, run it and return its final answer."""
+        body = await self.server.read_body(request)
+        if isinstance(body, web.Response):
+            return body
+        if body_problem := _find_body_problem(body):
+            return problem(400, body_problem, close=True)
+        await self.server.detect_disconnect(request)
+        if received.request_id in self.runtime.proxied_requests:
+            return problem(409, "this id is in use")
+        if len(self.runtime.proxied_requests) >= self.config.max_open_requests:
+            return _overloaded()
+        received = after_queueing(received, self.server.queueing_delay(request))
+        proxied_request = PlatformRequest(request, received, body)
+        if self.server.shutting_down:
+            proxied_request.close_connection_after_response()
+        return await run_request(self.runtime, proxied_request)
+
+
+def _find_body_problem(body: bytes) -> str | None:
+    """Return what is wrong with a body, None if it is a JSON object."""
+    try:
+        value = orjson.loads(body)
+    except orjson.JSONDecodeError:
+        return "the body is not JSON"
+    return None if isinstance(value, dict) else "the body must be a JSON object"
+
+
+def _overloaded() -> web.Response:
+    """Return the rejection of a request that would exceed a resource limit."""
+    response = web.Response(status=503, headers={"Retry-After": "1"}, text="too much at once\n")
+    response.force_close()
+    return response
--- /dev/null
+++ b/llm_router/frontends/platform/proxied_request.py
@@ -0,0 +1,63 @@
+"""One client's request on its way through the platform's front end."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Mapping
+from datetime import timedelta
+
+from aiohttp import web
+
+from llm_router.frontends.platform.endpoint_response import parse_head, parse_tail
+from llm_router.frontends.platform.names import REQUEST_ID, TIME_REMAINING_MS
+from llm_router.lifecycle.effects import OpenAttempt
+from llm_router.lifecycle.events import RequestReceived
+from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
+from llm_router.transport.server import EventStreamSink, StreamedResponse, problem, target
+from llm_router.transport.server import retry_after as format_retry_after
+
+STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
+
+
+class PlatformRequest:
+    """A `ProxiedRequest` whose response is a stream of events."""
+
+    def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
+        self.received = received
+        self._body = body
+        self._method, self._path = request.method, target(request)
+        self._content_type = request.headers.get("Content-Type", "application/json")
+        self._done: asyncio.Future[web.StreamResponse] = asyncio.get_running_loop().create_future()
+        self._response = StreamedResponse(headers=STREAM_HEADERS)
+        self._response.enable_chunked_encoding()
+        self.sink = EventStreamSink(request, self._response, self._done)
+
+    def close_connection_after_response(self) -> None:
+        """Let the client's connection end with the response."""
+        self._response.force_close()
+
+    def upstream_request(self, effect: OpenAttempt) -> UpstreamRequest:  # noqa: ARG002 - alike for each endpoint
+        """Return the client's request as it goes to an endpoint."""
+        headers = {REQUEST_ID: self.received.request_id, "Content-Type": self._content_type}
+        return UpstreamRequest(self._method, self._path, headers, self._body, TIME_REMAINING_MS)
+
+    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:
+        """Return what a response's head means for the attempt."""
+        return parse_head(status, headers, body)
+
+    def read_tail(self, tail: bytes) -> ResponseTail:
+        """Return what a stream's end says."""
+        return parse_tail(tail)
+
+    def reject(self, retry_after: timedelta) -> None:
+        """Answer that the request was not run and may be sent again after a while."""
+        headers = {"Retry-After": format_retry_after(retry_after)}
+        self._answer(web.Response(status=503, headers=headers, text="refused\n"))
+
+    def fail(self, id_conflict: bool) -> None:
+        """Answer that the request failed, or that its id belongs to another one."""
+        self._answer(problem(409, "this id is in use") if id_conflict else problem(502, "failed"))
+
+    def _answer(self, response: web.Response) -> None:
+        if not self._done.done():
+            self._done.set_result(response)
--- a/llm_router/frontends/registry_list.py
+++ b/llm_router/frontends/registry_list.py
@@ -1,88 +1,123 @@
-"""Discovery's list in the registry's JSON form. One entry that cannot be read does not spoil the others."""
+"""Reads discovery's endpoint list in the registry's JSON form.
+
+A malformed entry does not spoil the others, and what can be read of it counts: a drain must not be missed."""
 
 from __future__ import annotations
 
 import re
+from collections.abc import Mapping
 from math import isfinite
+from typing import Any
 
 from llm_router.lifecycle.endpoint import Endpoint
 from llm_router.lifecycle.events import EndpointListReceived
 from llm_router.lifecycle.start_times import parse_start_time
 from llm_router.routing.events import EndpointStatus
 
-# A status that the protocol does not name gets nothing new.
-STATES = {
+STATUSES = {
     "Ready": EndpointStatus.READY,
     "Terminating": EndpointStatus.DRAINING,
     "Gone": EndpointStatus.REMOVED,
 }
+UNKNOWN_STATUS = EndpointStatus.DRAINING  # a status that the protocol does not name gets nothing new
 ADDRESS = re.compile(r"(?:[A-Za-z0-9._-]+|\[[0-9A-Fa-f:.]+\]):(\d{1,5})")
 PORTS = range(1, 65536)
-ODD_NAMED = 10  # entries that are named in a log line, at most
+MAX_REPORTED = 10  # malformed entries that are named in a log line
 
 
-class EntryError(ValueError):
-    """An entry of which not even the name and the status are told."""
+class MalformedEntryError(ValueError):
+    """An entry of which not even the name and the status can be read."""
 
 
-def read_list(answer: dict) -> EndpointListReceived:
-    """Translate a list; a ValueError tells that nothing of it can be read."""
-    told = answer.get("endpoints")
-    if not isinstance(told, list):
+def read_list(answer: Mapping[str, Any]) -> EndpointListReceived:
+    """Return the endpoint list; raise ValueError if nothing of it can be read."""
+    entries = answer.get("endpoints")
+    if not isinstance(entries, list):
         raise ValueError("the list is malformed: endpoints must be a list")
-    endpoints, odd = [], []
-    for index, each in enumerate(told):
+    endpoints: list[Endpoint] = []
+    malformed: list[str] = []
+    for index, entry in enumerate(entries):
         try:
-            endpoints.append(read_entry(each, odd))
-        except EntryError as error:
-            odd.append(f"endpoints.{index}: {error}")
-    if told and not endpoints:
-        raise ValueError(f"the list is malformed: {odd[0]}")
-    return EndpointListReceived(
-        tuple(endpoints), bool(answer.get("snapshot")), malformed=tuple(odd[:ODD_NAMED])
-    )
-
-
-def read_entry(told: object, odd: list[str]) -> Endpoint:
-    """Translate an entry; what cannot be read of it is added to `odd`, and told as empty or unknown."""
-    if not isinstance(told, dict):
-        raise EntryError("is no object")
-    name, status = told.get("name"), told.get("status")
+            endpoints.append(_read_entry(entry, malformed))
+        except MalformedEntryError as error:
+            malformed.append(f"endpoints.{index}: {error}")
+    if entries and not endpoints:
+        raise ValueError(f"the list is malformed: {malformed[0]}")
+    is_full = bool(answer.get("snapshot"))
+    return EndpointListReceived(tuple(endpoints), is_full, malformed=tuple(malformed[:MAX_REPORTED]))
+
+
+def _read_entry(entry: object, malformed: list[str]) -> Endpoint:
+    """Return the endpoint of an entry; a malformed field is added to `malformed` and gets its default."""
+    if not isinstance(entry, dict):
+        raise MalformedEntryError("is no object")
+    name, status = entry.get("name"), entry.get("status")
     if not isinstance(name, str) or not name:
-        raise EntryError("name is missing")
+        raise MalformedEntryError("name is missing")
     if not isinstance(status, str):
-        raise EntryError(f"status of {name} is missing")
-    started = parse_start_time(since := told.get("since_ms", 0))
-    if isinstance(since, bool) or not isinstance(since, int | float) or since < 0:
-        odd.append(f"{name}.since_ms: {since!r}")
-    address, kind, zone = (read_text(told, name, key, odd) for key in ("address", "type", "zone"))
-    if isinstance(told.get("address"), str) and not is_address(address):
-        odd.append(f"{name}.address: {address!r}")
-        address = ""
-    cell, weight = read_number(told, name, "group", 0, odd), read_number(told, name, "weight", 1.0, odd)
-    state = STATES.get(status, EndpointStatus.DRAINING)
-    return Endpoint(name, address, zone, kind, int(cell), state, float(weight), started)
-
-
-def read_text(told: dict, name: str, key: str, odd: list[str]) -> str:
-    """Give a text of an entry, empty where there is none."""
-    value = told.get(key)
-    if isinstance(value, str):
-        return value
-    odd.append(f"{name}.{key}: {value!r}")
-    return ""
+        raise MalformedEntryError(f"status of {name} is missing")
+    fields = _EntryFields(name, entry, malformed)
+    start_ms = fields.start_ms()
+    address = fields.address()
+    kind = fields.text("type")
+    zone = fields.text("zone")
+    cell = fields.number("group", default=0)
+    weight = fields.number("weight", default=1.0)
+    return Endpoint(
+        name=name,
+        address=address,
+        zone=zone,
+        kind=kind,
+        cell=int(cell),
+        status=STATUSES.get(status, UNKNOWN_STATUS),
+        weight=float(weight),
+        started_at=parse_start_time(start_ms),
+    )
 
 
-def read_number(told: dict, name: str, key: str, default: float, odd: list[str]) -> float:
-    """Give a finite number of an entry, or its default."""
-    value = told.get(key, default)
-    if isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value):
+class _EntryFields:
+    """The fields of one entry; what is malformed is added to a list of problems."""
+
+    def __init__(self, name: str, entry: Mapping[str, Any], malformed: list[str]) -> None:
+        self._name, self._entry, self._malformed = name, entry, malformed
+
+    def text(self, key: str) -> str:
+        """Return a text, empty where there is none."""
+        value = self._entry.get(key)
+        if isinstance(value, str):
+            return value
+        self._report(key, value)
+        return ""
+
+    def number(self, key: str, default: float) -> float:
+        """Return a finite number, or its default."""
+        value: object = self._entry.get(key, default)
+        if isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value):
+            return value
+        self._report(key, value)
+        return default
+
+    def address(self) -> str:
+        """Return the HOST:PORT, empty where there is none."""
+        address = self.text("address")
+        if not isinstance(self._entry.get("address"), str) or _is_address(address):
+            return address
+        self._report("address", address)
+        return ""
+
+    def start_ms(self) -> object:
+        """Return the start time as it is written; a malformed one counts as a start of just now."""
+        value: object = self._entry.get("since_ms", 0)
+        if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
+            self._report("since_ms", value)
         return value
-    odd.append(f"{name}.{key}: {value!r}")
-    return default
+
+    def _report(self, key: str, value: object) -> None:
+        """Add a field to the problems."""
+        self._malformed.append(f"{self._name}.{key}: {value!r}")
 
 
-def is_address(text: str) -> bool:
-    """Tell whether a text is HOST:PORT."""
-    found = ADDRESS.fullmatch(text)
-    return found is not None and int(found[1]) in PORTS
+def _is_address(text: str) -> bool:
+    """Return whether a text is HOST:PORT."""
+    match = ADDRESS.fullmatch(text)
+    return match is not None and int(match[1]) in PORTS
--- a/tests/frontends/test_frontend_parity.py
+++ b/tests/frontends/test_frontend_parity.py
@@ -1,8 +1,9 @@
-"""The same faults on both fronts: mixed endpoints, one fleet, equal outcomes."""
+"""The same faults of an endpoint have equal outcomes on both front ends."""
 
 import asyncio
 
 import pytest
+from kserve_sidecar import ANSWER, infer, sidecar
 from stand_ins import (
     DONE,
     EVENT,
@@ -16,32 +17,31 @@
     running_router,
     within,
 )
-from test_kserve import ANSWER, infer, sidecar
 
 MIXED = {**SETTINGS, "kinds": ["mixed"], "family_info": {"duty_by_kind": ["both"], "local_read": True}}
 
 
-async def error(call, writer):
+async def answer_error(_call, writer):
     writer.write(message("HTTP/1.1 500 Internal Server Error"))
 
 
-async def close(call, writer):
+async def close_connection(_call, writer):
     writer.close()
 
 
-async def hang(call, writer):
+async def hang(_call, _writer):
     await asyncio.Event().wait()
 
 
-async def turn_away(call, writer):
+async def reject(_call, writer):
     writer.write(message("HTTP/1.1 503 Service Unavailable", X_Unprocessed="1"))
 
 
-async def busy(call, writer):
+async def answer_unavailable(_call, writer):
     writer.write(message("HTTP/1.1 503 Service Unavailable"))
 
 
-async def well(call, writer):
+async def answer(call, writer):
     if call[0].startswith("POST /v1"):
         writer.write(STREAM + chunk(EVENT + DONE) + b"0\r\n\r\n")
     else:
@@ -49,22 +49,22 @@
 
 
 @pytest.mark.parametrize(
-    ("play", "lookup", "booking"),
+    ("handler", "lookup", "booking"),
     [
-        (well, 200, 200),
-        (error, 503, 502),
-        (close, 503, 502),
+        (answer, 200, 200),
+        (answer_error, 503, 502),
+        (close_connection, 503, 502),
         (hang, 503, 502),
-        (turn_away, 503, 503),
-        (busy, 503, 502),
+        (reject, 503, 503),
+        (answer_unavailable, 503, 502),
     ],
-    ids=["well", "error", "close", "hang", "turn_away", "busy"],
+    ids=["answer", "error", "close", "hang", "reject", "unavailable"],
 )
-@pytest.mark.parametrize("front", ["platform", "kserve"])
-def test_outcomes_are_equal(tmp_path, front, play, lookup, booking):
+@pytest.mark.parametrize("frontend", ["platform", "kserve"])
+def test_outcomes_are_equal(tmp_path, frontend, handler, lookup, booking):
     async def test():
-        async with StandInServer(play) as server:
-            if front == "platform":
+        async with StandInServer(handler) as server:
+            if frontend == "platform":
                 start = running_router(
                     tmp_path, [registry_entry("m", server.address, "mixed")], settings=MIXED
                 )
@@ -73,15 +73,15 @@
             async with start as program:
                 for cls, code in (("booking", booking), ("lookup", lookup)):
                     before = len(server.calls)
-                    ask = (
+                    request = (
                         chat_request("x", cls, 400)
-                        if front == "platform"
+                        if frontend == "platform"
                         else infer("x", cls, time_left_ms=400)
                     )
-                    first, headers, _ = await program.exchange(ask)
+                    first, headers, _ = await program.exchange(request)
                     assert int(first.split()[1]) == code
-                    assert ("retry-after" in headers) == (code == 503), "a refusal says when to return"
-                    if cls == "booking" and play is not turn_away:
+                    assert ("retry-after" in headers) == (code == 503), "a rejection says when to retry"
+                    if cls == "booking" and handler is not reject:
                         assert len(server.calls) - before == 1, "what may have run is sent once"
                 assert await program.stop() == 0
 
--- a/tests/frontends/test_malformed_lists.py
+++ b/tests/frontends/test_malformed_lists.py
@@ -1,4 +1,4 @@
-"""Entries that cannot be read spoil no list; what can be read of them counts."""
+"""A malformed entry leaves the others of its list valid, and what can be read of it counts."""
 
 from datetime import timedelta
 
@@ -34,7 +34,7 @@
         (True, LATEST),
     ],
 )
-def test_an_odd_start_is_read_as_one_of_just_now(since, start):
+def test_a_malformed_start_time_counts_as_just_now(since, start):
     assert parse_start_time(since) == start
 
 
@@ -49,58 +49,58 @@
         {"zone": 5},
     ],
 )
-def test_an_entry_with_an_odd_figure_is_taken(changes):
-    told = listed(GOOD, {**GOOD, "name": "odd", **changes})
-    assert [each.name for each in told.endpoints] == ["good", "odd"]
-    assert all(each.address and each.kind for each in told.endpoints)
+def test_an_entry_with_a_malformed_field_is_accepted(changes):
+    endpoint_list = listed(GOOD, {**GOOD, "name": "malformed", **changes})
+    assert [each.name for each in endpoint_list.endpoints] == ["good", "malformed"]
+    assert all(each.address and each.kind for each in endpoint_list.endpoints)
 
 
 @pytest.mark.parametrize(
-    "odd", [5, None, {}, {"name": "x"}, {"name": "", "status": "Ready"}, {"status": "Ready"}]
+    "entry", [5, None, {}, {"name": "x"}, {"name": "", "status": "Ready"}, {"status": "Ready"}]
 )
-def test_an_entry_without_name_or_status_leaves_the_others(odd):
-    told = listed(odd, GOOD)
-    assert [each.name for each in told.endpoints] == ["good"]
-    assert len(told.malformed) == 1
+def test_an_entry_without_name_or_status_leaves_the_others(entry):
+    endpoint_list = listed(entry, GOOD)
+    assert [each.name for each in endpoint_list.endpoints] == ["good"]
+    assert len(endpoint_list.malformed) == 1
 
 
 @pytest.mark.parametrize(
     "address", ["", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:70000", "a b:1", "h:1/x", 5, None]
 )
-def test_an_address_that_cannot_be_read_is_told_as_none(address):
-    told = listed(GOOD, {**GOOD, "name": "odd", "address": address})
-    assert told.endpoints[1].address == "" and told.malformed
+def test_a_malformed_address_is_empty(address):
+    endpoint_list = listed(GOOD, {**GOOD, "name": "malformed", "address": address})
+    assert endpoint_list.endpoints[1].address == "" and endpoint_list.malformed
 
 
 @pytest.fixture
-def core():
+def reducer():
     return ReducerHarness()
 
 
-@pytest.mark.parametrize("odd", [{"address": ""}, {"kind": ""}, {"address": "", "kind": ""}])
-def test_a_drain_counts_though_the_rest_of_its_entry_cannot_be_read(core, odd):
-    number, known = next(iter(core.state.endpoints.items()))
-    told = {"address": known.address, "kind": known.kind, **odd}
-    draining = Endpoint(known.name, zone="", cell=0, status=EndpointStatus.DRAINING, **told)
-    core.feed(events.EndpointListReceived((draining,), False))
-    assert core.state.endpoints[number].status is EndpointStatus.DRAINING
-    assert core.state.endpoints[number].address == known.address
+@pytest.mark.parametrize("malformed", [{"address": ""}, {"kind": ""}, {"address": "", "kind": ""}])
+def test_a_drain_counts_in_an_entry_that_is_otherwise_malformed(reducer, malformed):
+    number, known = next(iter(reducer.state.endpoints.items()))
+    fields = {"address": known.address, "kind": known.kind, **malformed}
+    draining = Endpoint(known.name, zone="", cell=0, status=EndpointStatus.DRAINING, **fields)
+    reducer.feed(events.EndpointListReceived((draining,), False))
+    assert reducer.state.endpoints[number].status is EndpointStatus.DRAINING
+    assert reducer.state.endpoints[number].address == known.address
 
 
-def test_an_endpoint_that_comes_to_be_of_an_unknown_kind_gets_nothing_more(core):
-    number, known = next(iter(core.state.endpoints.items()))
-    other = Endpoint(known.name, known.address, known.zone, "unheard", known.cell, EndpointStatus.READY)
-    core.feed(events.EndpointListReceived((other,), False))
-    assert number not in core.state.endpoints
+def test_an_endpoint_whose_kind_becomes_unknown_is_removed(reducer):
+    number, known = next(iter(reducer.state.endpoints.items()))
+    other = Endpoint(known.name, known.address, known.zone, "unknown", known.cell, EndpointStatus.READY)
+    reducer.feed(events.EndpointListReceived((other,), False))
+    assert number not in reducer.state.endpoints
 
 
-def test_the_program_goes_on_with_a_list_that_has_odd_entries_and_says_so_once(tmp_path):
+def test_the_router_serves_with_malformed_entries_and_logs_them_once(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
-            odd = {**program.entries[0], "name": "odd", "address": "nowhere", "since_ms": "soon"}
-            await program.discovery.publish([*program.entries, odd, 7])
+            entry = {**program.entries[0], "name": "malformed", "address": "nowhere", "since_ms": "soon"}
+            await program.discovery.publish([*program.entries, entry, 7])
             line = await program.wait_for_log("endpoint_entries_malformed")
-            assert any("odd.address" in each for each in line["entries"])
+            assert any("malformed.address" in each for each in line["entries"])
             assert (await program.exchange(chat_request()))[0].split()[1] == "200"
             assert not await program.faults()
             assert not any(each["event"] == "discovery_lost" for each in program.log)
--- /dev/null
+++ b/tests/frontends/test_platform_shutdown.py
@@ -0,0 +1,122 @@
+"""SIGTERM and SIGHUP on the platform's protocol."""
+
+import asyncio
+import os
+import signal
+from contextlib import suppress
+from socket import SO_ERROR, SOL_SOCKET
+
+from stand_ins import (
+    DONE,
+    EVENT,
+    STREAM,
+    USAGE,
+    chat_request,
+    chunk,
+    hang,
+    message,
+    paused_stream,
+    read_message,
+    router_with_endpoints,
+    run,
+    within,
+)
+
+
+def test_sigterm_finishes_accepted_requests_and_ends_keep_alive(tmp_path):
+    resume = asyncio.Event()
+
+    async def test():
+        async with router_with_endpoints(tmp_path, write=paused_stream(resume)) as program:
+            idle_reader, idle_writer = await program.connect()
+            idle_writer.write(message("GET /health/ready HTTP/1.1", Host="h"))
+            assert (await within(read_message(idle_reader)))[0].split()[1] == "200"
+            reader, writer = await program.connect()
+            writer.write(chat_request())
+            await program.writer.wait_for("POST /v1/chat")
+            program.process.terminate()
+            await program.wait_for_log("stopping")
+            late = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
+            assert late[0].split()[1] == "503" and late[1]["connection"] == "close"
+            assert await within(idle_reader.read()) == b"", "an idle connection is closed"
+            resume.set()
+            assert (await within(read_message(reader)))[2] == EVENT + DONE
+            assert await within(program.process.wait()) == 0
+
+    run(test())
+
+
+def test_sighup_never_ends_the_program_even_during_shutdown(tmp_path):
+    async def test():
+        async with router_with_endpoints(tmp_path, write=hang) as program:
+            reader, writer = await program.connect()
+            writer.write(chat_request(left=900))
+            await program.writer.wait_for("POST /v1/chat")
+            program.process.terminate()
+            await program.wait_for_log("stopping")
+            program.reload()
+            await program.wait_for_log("configuration_reloaded")
+            assert (await within(read_message(reader)))[0].split()[1] == "503"
+            while program.process.returncode is None:  # up to the very end
+                with suppress(ProcessLookupError):
+                    os.kill(program.process.pid, signal.SIGHUP)  # send_signal() would reap it: status 255
+                await asyncio.sleep(0)
+                with suppress(TimeoutError):
+                    await asyncio.wait_for(asyncio.shield(program.process.wait()), 0.002)
+            assert program.process.returncode == 0
+
+    run(test())
+
+
+def test_sigterm_closes_idle_connections_without_a_reset_and_serves_a_partly_received_request(tmp_path):
+    async def test():
+        async with router_with_endpoints(tmp_path) as program:
+            idle_reader, idle_writer = await program.connect()
+            idle_writer.write(chat_request("first"))
+            assert (await within(read_message(idle_reader)))[0].endswith("200 OK")
+            slow_reader, slow_writer = await program.connect()
+            slow_writer.write(chat_request("pieces")[:40])
+            await asyncio.sleep(0.1)
+            program.process.send_signal(signal.SIGTERM)
+            assert await within(idle_reader.read()) == b"", "the idle connection is closed"
+            for data in (chat_request("crossed"), b"more"):  # in the very moment of the close
+                idle_writer.write(data)
+                await asyncio.sleep(0.1)
+            slow_writer.write(chat_request("pieces")[40:])
+            answer = await within(read_message(slow_reader))
+            assert answer[0].endswith("200 OK") and answer[1]["connection"] == "close"
+            connection = idle_writer.transport.get_extra_info("socket")
+            assert connection.getsockopt(SOL_SOCKET, SO_ERROR) == 0, "no reset"
+            idle_writer.close()
+            slow_writer.close()
+            assert await within(program.process.wait()) == 0
+            ids = [call[1]["x-correlation-id"] for call in program.reader.named("POST /v1/chat")]
+            assert ids == ["first", "pieces"], "what comes after the end is not accepted"
+
+    run(test())
+
+
+def test_sigterm_relays_a_stream_to_its_end_though_its_client_sent_more(tmp_path):
+    started, resume = asyncio.Event(), asyncio.Event()
+
+    async def stall_mid_stream(_call, writer):
+        writer.write(STREAM + chunk(EVENT))
+        started.set()
+        await resume.wait()
+        writer.write(chunk(EVENT) * 200 + chunk(USAGE + DONE) + b"0\r\n\r\n")
+
+    async def test():
+        async with router_with_endpoints(tmp_path, write=stall_mid_stream) as program:
+            answers, client = await program.connect()
+            client.write(chat_request("r1"))
+            await within(started.wait())
+            program.process.send_signal(signal.SIGTERM)
+            await asyncio.sleep(0.8)
+            client.write(b"x" * 300_000)
+            resume.set()
+            assert (await within(read_message(answers)))[2] == EVENT * 201 + USAGE + DONE
+            assert await within(answers.read()) == b"", "an end, not a reset"
+            client.close()
+            assert await within(program.process.wait()) == 0
+
+    run(test())
--- a/tests/transport/test_client_disconnect.py
+++ b/tests/transport/test_client_disconnect.py
@@ -9,7 +9,7 @@
 from stand_ins import SETTINGS, chat_request, free_port, within
 
 from llm_router.configuration import platform_configuration
-from llm_router.frontends.platform import Platform
+from llm_router.frontends.platform import PlatformFrontend
 from llm_router.lifecycle.events import RequestReceived
 from llm_router.transport.arrival import Loop
 
@@ -19,7 +19,7 @@
     address = "127.0.0.1", free_port()
     told = {"name": "n", "listen": "{}:{}".format(*address), "discovery": "127.0.0.1:1", "settings": SETTINGS}
     fed = []
-    front = Platform(platform_configuration(told), SimpleNamespace(exchanges={}, feed=fed.append))
+    front = PlatformFrontend(platform_configuration(told), SimpleNamespace(exchanges={}, feed=fed.append))
     await front.server.start()
     with socket.create_connection(address) as client:
         while not front.server.door.connections:
--- a/tests/transport/test_runtime.py
+++ b/tests/transport/test_runtime.py
@@ -11,7 +11,7 @@
 from stand_ins import SETTINGS, StandInServer, accept_release, registry_entry, within
 
 from llm_router.configuration import platform_configuration
-from llm_router.frontends.kserve import problem
+from llm_router.frontends.kserve.responses import error_response
 from llm_router.frontends.registry_list import read_list
 from llm_router.lifecycle import reducer
 from llm_router.lifecycle.events import AttemptEnded, ClientDisconnected, LoadReportReceived, RequestReceived
@@ -42,7 +42,7 @@
 
     async def test():
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        answer = await FrontendServer(platform_configuration(told), broken, problem).handle(None)
+        answer = await FrontendServer(platform_configuration(told), broken, error_response).handle(None)
         assert answer.status == 500 and json.loads(answer.body)["error"]
 
     asyncio.run(test())
@@ -203,7 +203,7 @@
 
     async def test():
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        server, closed = FrontendServer(platform_configuration(told), None, problem), asyncio.Event()
+        server, closed = FrontendServer(platform_configuration(told), None, error_response), asyncio.Event()
         server.acceptor = SimpleNamespace(close=closed.set, drained=False, failing=False)
         stopping = asyncio.ensure_future(server.shut_down())
         await asyncio.sleep(0.03)
