--- a/tests/test_malformed_settings.py
+++ b/tests/test_malformed_settings.py
@@ -1,4 +1,4 @@
-"""A setting that is missing or odd falls back sensibly or is named in one error; nothing else comes of it."""
+"""A malformed or missing setting gets its default or is named in one error; nothing else comes of it."""
 
 import copy
 
@@ -8,7 +8,7 @@
 from llm_router.configuration import ConfigurationError, platform_configuration
 from llm_router.routing.policy import RoutingPolicy
 
-TOLD = {
+CONFIGURATION = {
     "name": "n",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:1",
@@ -18,7 +18,7 @@
     "known": {"index": 0, "snapshot": True, "endpoints": []},
 }
 MISSING = object()
-ODD = [
+MALFORMED = [
     None,
     0,
     -1,
@@ -39,7 +39,7 @@
 
 
 def paths(value, path=()):
-    """Give the path of each key below a value."""
+    """Yield the path of each key below a value."""
     if path:
         yield path
     if isinstance(value, dict | list):
@@ -47,20 +47,20 @@
             yield from paths(each, (*path, key))
 
 
-@pytest.mark.parametrize("path", list(paths(TOLD)), ids=lambda path: ".".join(map(str, path)))
-def test_an_odd_value_is_taken_or_named_in_an_error(path):
-    for odd in ODD:
-        told = copy.deepcopy(TOLD)
-        *way, last = path
-        place = told
-        for key in way:
-            place = place[key]
-        if odd is MISSING:
-            del place[last]
+@pytest.mark.parametrize("path", list(paths(CONFIGURATION)), ids=lambda path: ".".join(map(str, path)))
+def test_a_malformed_value_is_accepted_or_named_in_an_error(path):
+    for malformed in MALFORMED:
+        values = copy.deepcopy(CONFIGURATION)
+        *parent_path, key = path
+        parent = values
+        for parent_key in parent_path:
+            parent = parent[parent_key]
+        if malformed is MISSING:
+            del parent[key]
         else:
-            place[last] = odd
+            parent[key] = malformed
         try:
-            config = platform_configuration(told)
+            config = platform_configuration(values)
         except ConfigurationError as error:
             assert "\n" not in str(error) and str(error)
         else:
@@ -69,6 +69,6 @@
 
 @pytest.mark.parametrize("name", ["retry_after", "max_retry_after", "cancel", "attempts_cap", "conn_idle"])
 def test_an_optional_setting_may_be_missing(name):
-    told = copy.deepcopy(TOLD)
-    told["settings"]["allowed"].pop(name)
-    assert platform_configuration(told).settings.classes
+    values = copy.deepcopy(CONFIGURATION)
+    values["settings"]["allowed"].pop(name)
+    assert platform_configuration(values).settings.classes
--- a/tests/test_tool.py
+++ b/tests/test_sidecar_config.py
@@ -1,25 +1,25 @@
-"""The tool writes a configuration that holds, and names what is faulty in one that does not."""
+"""The command writes a valid sidecar configuration, and names what is at fault in an invalid one."""
 
 import pytest
 
-from llm_router import tool
+from llm_router import sidecar_config
 
 
 @pytest.fixture
 def app(tmp_path):
     arguments = ["--name", "desk", "--listen", "127.0.0.1:9000", "--endpoint", "127.0.0.1:9001", "--once"]
-    assert tool.main(["init", str(tmp_path / "app"), *arguments]) == 0
+    assert sidecar_config.main(["init", str(tmp_path / "app"), *arguments]) == 0
     return tmp_path / "app"
 
 
-def test_what_init_writes_checks_well(app, capsys):
-    assert tool.main(["check", str(app / "llm_router.toml")]) == 0
+def test_the_written_configuration_is_valid(app, capsys):
+    assert sidecar_config.main(["check", str(app / "llm_router.toml")]) == 0
     assert "desk: 1 endpoints" in capsys.readouterr().out
-    assert tool.main(["init", str(app)]) == 2, "nothing is written over"
+    assert sidecar_config.main(["init", str(app)]) == 2, "no file is overwritten"
 
 
-def test_the_files_of_the_repository_check_well():
-    assert tool.main(["check", "deploy/kserve.toml"]) == 0
+def test_the_shipped_configuration_is_valid():
+    assert sidecar_config.main(["check", "deploy/kserve.toml"]) == 0
 
 
 @pytest.mark.parametrize(
@@ -42,9 +42,9 @@
         ("endpoints.json", "9001", "0", "socket_address"),
     ],
 )
-def test_check_names_the_faulty_key(app, capsys, file, old, new, word):
+def test_check_names_the_key_at_fault(app, capsys, file, old, new, word):
     path = app / file
     assert old in path.read_text()
     path.write_text(path.read_text().replace(old, new))
-    assert tool.main(["check", str(app / "llm_router.toml")]) == 2
+    assert sidecar_config.main(["check", str(app / "llm_router.toml")]) == 2
     assert word in capsys.readouterr().err
--- a/tests/transport/test_discovery.py
+++ b/tests/transport/test_discovery.py
@@ -8,9 +8,9 @@
 import pytest
 from stand_ins import SETTINGS, StandInServer, message, registry_entry, within
 
-from llm_router.__main__ import RouterService
 from llm_router.configuration import platform_configuration
 from llm_router.frontends.registry_list import read_list
+from llm_router.service import RouterService
 from llm_router.transport.discovery import Discovery
 from llm_router.transport.pool import DISCOVERY_SOCKETS, ConnectionPool, may_use_release_sockets
 
@@ -212,7 +212,7 @@
             with pytest.raises(OSError):
                 conductor.pool.open_socket(form)
             await agent.wait_for("GET /registry/instances?since=7")
-            conductor.watching.stop()
+            conductor.watch_supervisor.stop()
             for pool in conductor.pools:
                 await pool.close()
             for made in taken:
