--- a/llm_router/configuration/__init__.py
+++ b/llm_router/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Reads, checks and completes the configuration of a router instance.
+"""Loads the configuration of a router instance.
 
 `schema` has the types and `section` the checked reads; `platform` and `standalone` read one form of file each
 with what stands in `common`, and `loading` chooses between them."""
--- a/llm_router/frontends/kserve/frontend.py
+++ b/llm_router/frontends/kserve/frontend.py
@@ -11,7 +11,12 @@
 from llm_router.configuration import RouterConfig
 from llm_router.frontends.kserve.inference_request import parse_inference, parse_inference_header
 from llm_router.frontends.kserve.proxied_request import KServeRequest
-from llm_router.frontends.kserve.responses import error_response, json_response, overloaded_response
+from llm_router.frontends.kserve.responses import (
+    JSON_CONTENT_TYPE,
+    error_response,
+    json_response,
+    overloaded_response,
+)
 from llm_router.frontends.kserve.routes import Operation, find_route
 from llm_router.frontends.request_handling import InvalidRequestError, after_queueing, run_request
 from llm_router.lifecycle.events import EndpointListReceived
@@ -99,7 +104,7 @@
             response = await self.pool.fetch(endpoint.address, path, METADATA_TIMEOUT)
             if response is not None:
                 status, body = response
-                return web.Response(status=status, body=body, content_type="application/json")
+                return web.Response(status=status, body=body, content_type=JSON_CONTENT_TYPE)
         return error_response(503, "no endpoint tells of this model", NO_METADATA_BACKOFF)
 
     async def _infer_within_memory(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
--- a/llm_router/frontends/kserve/responses.py
+++ b/llm_router/frontends/kserve/responses.py
@@ -9,12 +9,13 @@
 
 from llm_router.transport.server import retry_after
 
+JSON_CONTENT_TYPE = "application/json"
 OVERLOADED_BACKOFF = timedelta(seconds=1)  # what a client is told to wait where a resource limit is met
 
 
 def json_response(value: object, status: int = 200) -> web.Response:
     """Return a response in JSON."""
-    return web.Response(status=status, body=orjson.dumps(value), content_type="application/json")
+    return web.Response(status=status, body=orjson.dumps(value), content_type=JSON_CONTENT_TYPE)
 
 
 def error_response(
@@ -23,7 +24,7 @@
     """Return an error; `backoff` makes its Retry-After header, `close` ends the connection."""
     headers = {} if backoff is None else {"Retry-After": retry_after(backoff)}
     body = orjson.dumps({"error": text})
-    response = web.Response(status=status, headers=headers, body=body, content_type="application/json")
+    response = web.Response(status=status, headers=headers, body=body, content_type=JSON_CONTENT_TYPE)
     if close:
         response.force_close()
     return response
--- a/llm_router/xds/resources.py
+++ b/llm_router/xds/resources.py
@@ -1,4 +1,4 @@
-"""Reads clusters and load assignments from xDS v3 JSON."""
+"""Reads endpoint lists from the clusters and load assignments of xDS v3 JSON."""
 
 from __future__ import annotations
 
