--- a/llm_router/frontends/kserve/frontend.py
+++ b/llm_router/frontends/kserve/frontend.py
@@ -101,9 +101,9 @@
         for endpoint in list(runtime.state.endpoints.values()):
             if endpoint.status is not EndpointStatus.READY:
                 continue
-            response = await self.pool.fetch(endpoint.address, path, METADATA_TIMEOUT)
-            if response is not None:
-                status, body = response
+            answer = await self.pool.fetch(endpoint.address, path, METADATA_TIMEOUT)
+            if answer is not None:
+                status, body = answer
                 return web.Response(status=status, body=body, content_type=JSON_CONTENT_TYPE)
         return error_response(503, "no endpoint tells of this model", NO_METADATA_BACKOFF)
 
