--- a/llm_router/__main__.py
+++ b/llm_router/__main__.py
@@ -17,8 +17,8 @@
 from llm_router.configuration import ConfigurationError, RouterConfig
 from llm_router.frontends import kserve, platform, registry_list
 from llm_router.transport import signals
-from llm_router.transport.arrival import Loop
 from llm_router.transport.discovery import Discovery
+from llm_router.transport.event_loop import TimedEventLoop
 from llm_router.transport.pool import DISCOVERY_SOCKETS, RELEASE_SOCKETS, ConnectionPool
 from llm_router.transport.runtime import Runtime
 from llm_router.transport.supervisor import Supervisor
@@ -71,7 +71,7 @@
         self.watching.stop()
         self.watch, self.watching = watch, Supervisor("watch", watch.watch)
         self.front.server.apply_limits(new.limits)
-        self.pool.max_sockets = new.limits.upstream_sockets
+        self.pool.socket_budget.max_sockets = new.limits.upstream_sockets
         known = (*configuration.RELOADED, *configuration.IGNORED)
         wait = [
             name
@@ -90,7 +90,7 @@
     async def serve(self) -> None:
         """Serve until a signal asks for the end, and then to the end of what was taken."""
         stop = asyncio.Event()
-        signals.heed(stop.set, self.reload)  # first: from its start on the server may have taken a request
+        signals.install(stop.set, self.reload)  # first: from its start on the server may have taken a request
         await self.front.server.start()
         gc.collect()
         gc.freeze()  # what lives from the start to the end need not be looked at again and again
@@ -131,7 +131,7 @@
     signals.ignore_reload()
     try:
         config = configuration.load_configuration(os.environ, file)
-        with asyncio.Runner(loop_factory=Loop) as runner:
+        with asyncio.Runner(loop_factory=TimedEventLoop) as runner:
             runner.run(serve(config, lambda: configuration.load_configuration(os.environ, file, again=True)))
     except ConfigurationError as error:
         log.emit("configuration_invalid", error=str(error))
--- a/llm_router/frontends/kserve.py
+++ b/llm_router/frontends/kserve.py
@@ -19,9 +19,10 @@
 from llm_router.routing.events import AttemptStatus, EndpointStatus
 from llm_router.routing.settings import ClassSettings, Idempotency, Role
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
+from llm_router.transport.frontend_server import FrontendServer
 from llm_router.transport.pool import ConnectionPool
+from llm_router.transport.responses import MARGIN, retry_after, target
 from llm_router.transport.runtime import Runtime
-from llm_router.transport.server import MARGIN, FrontendServer, retry_after, target
 
 MODEL = re.compile(r"/v2/models/([^/]+)(?:/versions/[^/]+)?(/ready|/infer)?")
 JSON_SIZE = "Inference-Header-Content-Length"  # how much of a body is JSON, where tensors follow in binary
@@ -245,7 +246,7 @@
             if endpoint.status is not EndpointStatus.READY:
                 continue
             if got := await self.pool.fetch(endpoint.address, path, ASK_WAIT):
-                return web.Response(status=got[0], body=got[1], content_type="application/json")
+                return web.Response(status=got.status, body=got.body, content_type="application/json")
         return problem(503, "no endpoint tells of this model", timedelta(seconds=1))
 
     async def infer(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
--- a/llm_router/frontends/platform.py
+++ b/llm_router/frontends/platform.py
@@ -18,17 +18,11 @@
 from llm_router.lifecycle.events import ClientDisconnected, RequestReceived
 from llm_router.load_gauges import report_of_gauges
 from llm_router.routing.events import NO_REPORT, AttemptStatus, LoadReport
+from llm_router.transport.event_stream import EventStreamSink, StreamedResponse
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
+from llm_router.transport.frontend_server import FrontendServer
+from llm_router.transport.responses import MARGIN, problem, retry_after, target
 from llm_router.transport.runtime import Runtime
-from llm_router.transport.server import (
-    MARGIN,
-    EventStreamSink,
-    FrontendServer,
-    StreamedResponse,
-    problem,
-    retry_after,
-    target,
-)
 
 CHAT, READY, STATS = "/v1/chat/completions", "/health/ready", "/stats"
 ID, CLASS, SESSION = "X-Correlation-Id", "X-Service-Class", "X-Session-Key"
--- a/llm_router/transport/__init__.py
+++ b/llm_router/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The runtime: performs the reducer's effects on sockets and feeds back what comes of them."""
+"""The transport: performs the reducer's effects on sockets, feeds back the events that result."""
--- a/llm_router/transport/discovery.py
+++ b/llm_router/transport/discovery.py
@@ -1,4 +1,4 @@
-"""Watches discovery; what it tells goes to the core as it comes."""
+"""Watches the discovery agent and feeds the endpoint lists that it returns to the lifecycle."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 from datetime import timedelta
+from typing import Any
 
 import aiohttp
 import orjson
@@ -13,132 +14,150 @@
 from llm_router import log
 from llm_router.configuration import RouterConfig
 from llm_router.lifecycle.events import EndpointListReceived
-from llm_router.transport.pool import ConnectionPool
-
-WAIT = timedelta(seconds=2.5)  # that discovery may hold a watch open
-CALL = timedelta(seconds=1.2)  # for an answer beyond that wait, connecting included: an agent answers at once
-PAUSE = timedelta(milliseconds=60)  # after a failed call: the next must come within 200 ms
-HEDGE_LEAST = timedelta(milliseconds=300)  # then another call for the list goes out beside one that hangs
-HEDGE_MULTIPLE = 2  # of the time that the last list took: crowded discovery is not asked the more for it
-LIST_CALLS_MOST = 3  # calls for the list that are out at once
+from llm_router.transport.clock import elapsed_since, to_milliseconds, to_seconds
+from llm_router.transport.pool import ConnectionPool, UpstreamCall
+
+WATCH_TIMEOUT = timedelta(seconds=2.5)  # for which the agent may hold a watch call open
+# For a response beyond that time, connecting included: an agent answers at once.
+CALL_TIMEOUT = timedelta(seconds=1.2)
+RETRY_DELAY = timedelta(milliseconds=60)  # after a failed call: the next must come within 200 ms
+MIN_HEDGE_DELAY = timedelta(milliseconds=300)  # then a further list call goes out, as the one before may hang
+# The hedge delay as a multiple of the time that the last list took: an overloaded agent gets no more calls.
+HEDGE_MULTIPLE = 2
+MAX_LIST_CALLS = 3  # calls for the list that are out at once
 LIST_PATH = "/registry/instances"
-FAILURES = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
+CALL_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
 
 
 class Discovery:
-    """One watch that goes on for ever, from a version that is known."""
+    """A watch on one discovery agent, from the version of its list that is known."""
 
     def __init__(
-        self, pool: ConnectionPool, address: str, read: Callable[[dict], EndpointListReceived], feed: Callable
+        self,
+        pool: ConnectionPool,
+        address: str,
+        read: Callable[[dict[str, Any]], EndpointListReceived],
+        feed: Callable[[EndpointListReceived], None],
     ) -> None:
-        self.pool, self.address, self.read, self.feed = pool, address, read, feed
-        self.index: int | None = None
-        self.failing = False
-        self.list_took = timedelta()  # the time that the last whole list took
-        self.heard_at: float | None = None  # the loop's time of the last answer
+        self._pool = pool
+        self._address = address
+        self._read = read  # raises ValueError for a list that is malformed as a whole
+        self._feed = feed
+        self.index: int | None = None  # the version that is known, None where a full snapshot is needed
+        self._is_failing = False
+        self._list_duration = timedelta()  # how long the last full snapshot took
+        self._last_response: float | None = None  # the loop's time of the last response
 
     def __str__(self) -> str:
-        return self.address
+        return self._address
 
     def moved(self, config: RouterConfig) -> Discovery:
-        """Give a new configuration's watch: another agent may number lists anew, so it asks for all."""
-        moved = Discovery(self.pool, "{}:{}".format(*config.discovery), self.read, self.feed)
-        moved.heard_at = self.heard_at
+        """Return a new configuration's watch, which starts with a full snapshot.
+
+        Another agent may number its lists differently."""
+        assert config.discovery is not None, "a configuration with a discovery watch has its address"
+        moved = Discovery(self._pool, "{}:{}".format(*config.discovery), self._read, self._feed)
+        moved._last_response = self._last_response
         return moved
 
-    def accept_list(self, answer: object) -> None:
-        """Take an answer in: a whole list replaces all, changes apply to a list we have."""
-        if not isinstance(answer, dict) or not isinstance(answer.get("index"), int):
+    def accept_list(self, response: object) -> None:
+        """Feed a response: a full snapshot, or changes to a list that is known.
+
+        Raise ValueError where it is malformed."""
+        if not isinstance(response, dict) or not isinstance(response.get("index"), int):
             raise ValueError("the list has no index")
-        whole = bool(answer.get("snapshot"))
-        if not whole and self.index is not None and answer["index"] < self.index:
-            # Guards against an agent that started anew: its changes belong to a list that we do not have.
+        is_full = bool(response.get("snapshot"))
+        if not is_full and self.index is not None and response["index"] < self.index:
+            # The agent has restarted: its changes belong to a list that is not known here.
             self.index = None
             return
-        listed = self.read(answer)
-        self.index = answer["index"]
-        if whole or listed.endpoints:
-            self.feed(replace(listed, since_last_answer=self.unheard()))
-
-    def unheard(self) -> timedelta | None:
-        """Give how long ago the last answer came, None if there was none."""
-        if self.heard_at is None:
+        received = self._read(response)
+        self.index = response["index"]
+        if is_full or received.endpoints:
+            self._feed(replace(received, since_last_answer=self._since_last_response()))
+
+    def _since_last_response(self) -> timedelta | None:
+        """Return how long ago the last response came, None if there was none."""
+        if self._last_response is None:
             return None
-        return timedelta(seconds=asyncio.get_running_loop().time() - self.heard_at)
+        return elapsed_since(self._last_response)
 
     async def watch(self) -> None:
         """Watch until cancelled."""
         while True:
             try:
-                answer = await (self.ask_for_list() if self.index is None else self.ask_for_changes())
-                self.accept_list(answer)
-                self.heard_at = asyncio.get_running_loop().time()
-            except FAILURES as error:
-                self.lost(error)
-                await asyncio.sleep(PAUSE.total_seconds())
+                response = await (self._fetch_list() if self.index is None else self._fetch_changes())
+                self.accept_list(response)
+                self._last_response = asyncio.get_running_loop().time()
+            except CALL_ERRORS as error:
+                self._on_failure(error)
+                await asyncio.sleep(to_seconds(RETRY_DELAY))
                 continue
             except Exception:
                 self.index = None
                 raise
-            if self.failing:
+            if self._is_failing:
                 log.emit("discovery_recovered", index=self.index)
-            self.failing = False
+            self._is_failing = False
 
-    def lost(self, error: Exception) -> None:
-        """Note a failed call; the whole list is asked for next, as changes may have been missed."""
-        if not self.failing:
+    def _on_failure(self, error: BaseException) -> None:
+        """Note a failed call; a full snapshot is fetched next, as changes may have been missed."""
+        if not self._is_failing:
             log.emit("discovery_lost", error=repr(error))
-        self.failing = True
+        self._is_failing = True
         self.index = None
 
-    async def ask_for_changes(self) -> object:
-        """Ask for what changed since the version that is known, or will within the wait."""
-        path = f"{LIST_PATH}?since={self.index}&timeout_ms={WAIT // timedelta(milliseconds=1)}"
-        return await self.call(path, WAIT + CALL)
+    async def _fetch_changes(self) -> object:
+        """Fetch what changed since the known version, or changes within the watch timeout."""
+        path = f"{LIST_PATH}?since={self.index}&timeout_ms={to_milliseconds(WATCH_TIMEOUT)}"
+        return await self._fetch(path, WATCH_TIMEOUT + CALL_TIMEOUT)
 
-    async def ask_for_list(self) -> object:
-        """Ask for the whole list; the first of several calls that is answered counts.
+    async def _fetch_list(self) -> object:
+        """Fetch a full snapshot by hedged calls; the first one that is answered counts.
 
-        Guards against a call that is out when discovery comes back and is never answered: while it hangs,
-        others go out beside it."""
+        A call that is out when the agent comes back may never be answered."""
         loop = asyncio.get_running_loop()
-        out: set[asyncio.Task] = set()
-        next_at = loop.time()
+        running: set[asyncio.Task[object]] = set()
+        next_call = loop.time()
         try:
             while True:
-                if loop.time() >= next_at and len(out) < LIST_CALLS_MOST:
-                    out.add(loop.create_task(self.call_for_list()))
-                    hedge = max(HEDGE_LEAST, HEDGE_MULTIPLE * self.list_took)
-                    next_at = loop.time() + hedge.total_seconds()
-                timeout = None if len(out) == LIST_CALLS_MOST else max(0.0, next_at - loop.time())
-                ended, out = await asyncio.wait(out, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
+                if loop.time() >= next_call and len(running) < MAX_LIST_CALLS:
+                    running.add(loop.create_task(self._fetch_list_once()))
+                    next_call = loop.time() + to_seconds(self._hedge_delay())
+                timeout = None if len(running) == MAX_LIST_CALLS else max(0.0, next_call - loop.time())
+                ended, running = await asyncio.wait(
+                    running, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
+                )
                 for call in sorted(ended, key=lambda call: call.exception() is not None):
-                    if (error := call.exception()) is None:
+                    error = call.exception()
+                    if error is None:
                         return call.result()
-                    if not out or not isinstance(error, FAILURES):
+                    if not running or not isinstance(error, CALL_ERRORS):
                         raise error
-                    self.lost(error)
+                    self._on_failure(error)
         finally:
-            for call in out:
+            for call in running:
                 call.cancel()
-            await asyncio.gather(*out, return_exceptions=True)
-
-    async def call_for_list(self) -> object:
-        """Make one call for the whole list, and note how long it took."""
-        loop = asyncio.get_running_loop()
-        begun = loop.time()
-        answer = await self.call(LIST_PATH, CALL)
-        self.list_took = timedelta(seconds=loop.time() - begun)
-        return answer
-
-    async def call(self, path: str, patience: timedelta) -> object:
-        """Make one call and give its answer.
-
-        Guards against calls that fall silent or are cut off, at whatever point: a change counts as told 6 s
-        after discovery had it, and the next call has to have it by then."""
-        async with asyncio.timeout(patience.total_seconds()):
-            async with self.pool.request("GET", self.address, path) as answer:
-                body = await answer.read()
-        if answer.status != 200:
-            raise ValueError(f"status {answer.status}")
+            await asyncio.gather(*running, return_exceptions=True)
+
+    def _hedge_delay(self) -> timedelta:
+        return max(MIN_HEDGE_DELAY, HEDGE_MULTIPLE * self._list_duration)
+
+    async def _fetch_list_once(self) -> object:
+        """Make one call for a full snapshot, and note how long it took."""
+        start = asyncio.get_running_loop().time()
+        response = await self._fetch(LIST_PATH, CALL_TIMEOUT)
+        self._list_duration = elapsed_since(start)
+        return response
+
+    async def _fetch(self, path: str, timeout: timedelta) -> object:
+        """Make one call and return its parsed response; raise one of CALL_ERRORS where it fails.
+
+        The timeout covers calls that fall silent or are cut off at any point: a change has to arrive within
+        6 s after the agent has it, and the call after a failed one has to return it by then."""
+        async with asyncio.timeout(to_seconds(timeout)):
+            async with self._pool.request(UpstreamCall("GET", self._address, path)) as response:
+                body = await response.read()
+        if response.status != 200:
+            raise ValueError(f"status {response.status}")
         return orjson.loads(body)
--- /dev/null
+++ b/llm_router/transport/release_client.py
@@ -0,0 +1,82 @@
+"""Makes the calls that release KV leases at endpoints."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from datetime import timedelta
+
+from llm_router import log
+from llm_router.lifecycle import effects, events
+from llm_router.transport.background_tasks import BackgroundTasks
+from llm_router.transport.clock import to_seconds
+from llm_router.transport.pool import ConnectionPool, UpstreamCall
+
+RELEASE_TIMEOUT = timedelta(seconds=2)  # of one call, which is cancelled once another one is acknowledged
+RELEASE_WAIT = timedelta(milliseconds=100)  # a next prefill waits so long for the release before it
+RELEASE_ACKNOWLEDGED = 204  # the status of an endpoint that has taken a release
+
+
+class ReleaseClient:
+    """Makes release calls and feeds back how each ended."""
+
+    def __init__(
+        self,
+        pool: ConnectionPool,
+        path: Callable[[str], str | None],
+        tasks: BackgroundTasks,
+        feed: Callable[[events.Event], None],
+    ) -> None:
+        self._pool = pool
+        self._path = path  # returns a request's path, None where the endpoints hold no KV leases
+        self._tasks = tasks
+        self._feed = feed
+        self.running: dict[str, set[asyncio.Task[bool]]] = {}  # by request
+        self._awaited: dict[str, asyncio.Event] = {}  # set by an acknowledged release, by request
+
+    def start(self, effect: effects.Release) -> None:
+        """Start a release call."""
+        task = self._tasks.spawn(self._call(effect))
+        self.running.setdefault(effect.request_id, set()).add(task)
+        task.add_done_callback(lambda task: self._on_done(effect, task))
+
+    def _on_done(self, effect: effects.Release, task: asyncio.Task[bool]) -> None:
+        """Feed back how a release call ended, unless it was cancelled."""
+        running = self.running.get(effect.request_id, set())
+        running.discard(task)
+        if not running:
+            self.running.pop(effect.request_id, None)
+        if task.cancelled():
+            return
+        acknowledged = task.exception() is None and task.result()
+        if acknowledged and effect.request_id in self._awaited:
+            self._awaited[effect.request_id].set()
+        self._feed(
+            events.ReleaseCallEnded(effect.request_id, effect.accepted_at, effect.call_number, acknowledged)
+        )
+
+    async def _call(self, effect: effects.Release) -> bool:
+        """Call an endpoint's release; return whether the endpoint has acknowledged it."""
+        path = self._path(effect.request_id)
+        if path is None:
+            return True
+        call = UpstreamCall("DELETE", effect.endpoint.address, path, for_release=True)
+        return await self._pool.call(call, RELEASE_TIMEOUT) == RELEASE_ACKNOWLEDGED
+
+    def cancel(self, effect: effects.CancelReleases) -> None:
+        """Cancel the release calls of a request."""
+        for task in self.running.pop(effect.request_id, set()):
+            task.cancel()
+
+    async def wait_for_acknowledgement(self, request_id: str) -> None:
+        """Wait, for a bounded time, until an endpoint has acknowledged a release of a request."""
+        acknowledged = asyncio.Event()
+        self._awaited[request_id] = acknowledged
+        try:
+            async with asyncio.timeout(to_seconds(RELEASE_WAIT)):
+                await acknowledged.wait()
+        except TimeoutError:
+            log.emit_rate_limited("release_wait_timed_out", request=request_id)
+        finally:
+            if self._awaited.get(request_id) is acknowledged:
+                del self._awaited[request_id]
--- a/llm_router/transport/resilient_socket.py
+++ b/llm_router/transport/resilient_socket.py
@@ -1,15 +1,19 @@
-"""Sockets whose calls fail for a moment without harm, and which errors are this machine's own."""
+"""Sockets whose system calls survive a passing shortage on this machine."""
 
 from __future__ import annotations
 
 import errno
 import socket
+from typing import TYPE_CHECKING, Any
 
-SHORT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-# Errors of socket() and connect() that tell nothing of the other end.
+if TYPE_CHECKING:
+    from typing_extensions import Buffer
+
+OUT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
+# Errors of socket() and connect() that say nothing about the other end.
 LOCAL_ERRORS = frozenset(
     (
-        *SHORT_OF_MEMORY,
+        *OUT_OF_MEMORY,
         errno.EMFILE,
         errno.ENFILE,
         errno.EADDRNOTAVAIL,  # no port is free
@@ -25,32 +29,34 @@
         errno.EPROTONOSUPPORT,
     )
 )
-INTERRUPTED_MOST = 8  # times that a connect is begun again after EINTR
+MAX_CONNECT_CALLS = 8  # calls of connect that may be interrupted by a signal
 
 
 class LocalSocketError(OSError):
-    """A call that failed for a reason of this machine's.
+    """A call failed because of this machine.
 
-    Its own class, as Python makes EAGAIN and EINTR the errors that asyncio takes for a connect under way."""
+    A class of its own, as Python maps EAGAIN and EINTR to the errors that asyncio takes for a connect under
+    way."""
 
 
 class SocketLimitError(LocalSocketError):
-    """Our own bound on sockets is reached: there is no use in trying again at once."""
+    """The router's own bound on sockets is reached: an immediate retry is of no use."""
 
 
 class ResilientSocket(socket.socket):
-    """A stream socket that takes passing errors for what they are.
+    """A stream socket that treats passing errors as passing.
 
-    A send or receive for which memory is short would block; asyncio then tries it again. A connect that was
-    not begun raises LocalError rather than an error that looks like one under way."""
+    A send or receive for which memory is short behaves as if it would block; asyncio then retries it. A
+    connect that was not begun raises LocalSocketError rather than an error that looks like one under way."""
 
-    def connect(self, address: tuple) -> None:
-        """Begin to connect; BlockingIOError tells that it is under way."""
-        for _ in range(INTERRUPTED_MOST):
+    def connect(self, address: tuple[Any, ...] | str | Buffer) -> None:
+        """Begin to connect; raise BlockingIOError when it is under way, LocalSocketError when not begun."""
+        for _ in range(MAX_CONNECT_CALLS):
             try:
                 return super().connect(address)
             except InterruptedError:
-                continue  # it goes on by itself, which the next call tells as EALREADY, or was not begun
+                # Either it goes on by itself, which the next call reports as EALREADY, or it was not begun.
+                continue
             except BlockingIOError as error:
                 if error.errno == errno.EAGAIN:
                     raise LocalSocketError(error.errno, error.strerror) from None
@@ -61,23 +67,23 @@
                 raise
         raise LocalSocketError(errno.EINTR, "connect was interrupted again and again")
 
-    def send(self, data: bytes, flags: int = 0) -> int:
-        """Send what there is room for."""
+    def send(self, data: Buffer, flags: int = 0) -> int:
+        """Send as much as there is room for and return its size."""
         try:
             return super().send(data, flags)
         except OSError as error:
-            raise self.would_block(error) from None
+            raise self._as_would_block(error) from None
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Receive what has come."""
+        """Receive what has come, at most `size` bytes."""
         try:
             return super().recv(size, flags)
         except OSError as error:
-            raise self.would_block(error) from None
+            raise self._as_would_block(error) from None
 
     @staticmethod
-    def would_block(error: OSError) -> OSError:
-        """Give BlockingIOError in place of an error that passes, else the error itself."""
-        if error.errno in SHORT_OF_MEMORY:
+    def _as_would_block(error: OSError) -> OSError:
+        """Return BlockingIOError in place of an error that passes, else the error itself."""
+        if error.errno in OUT_OF_MEMORY:
             return BlockingIOError(errno.EAGAIN, error.strerror)
         return error
--- a/llm_router/transport/signals.py
+++ b/llm_router/transport/signals.py
@@ -1,4 +1,4 @@
-"""Signals: SIGTERM and SIGINT ask for the end, SIGHUP for the configuration anew."""
+"""Signal handling: SIGTERM or SIGINT stops the program, SIGHUP reloads the configuration."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def ignore_reload() -> None:
-    """Guard against SIGHUP before we serve or when we are done: its default ends the process."""
+    """Ignore SIGHUP before the program serves and once it has stopped: its default ends the process."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def heed(stop: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Call back on the event loop when a signal comes."""
+def install(stop: Callable[[], None], reload: Callable[[], None]) -> None:
+    """Call `stop` or `reload` on the running event loop when a signal comes."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
-    # Guards against the loop's own handler, which falls back to the default when the loop closes.
-    signal.signal(signal.SIGHUP, lambda number, frame: loop.call_soon_threadsafe(reload))
+    # Not the loop's own handler, which restores the default, the process's end, when the loop closes.
+    signal.signal(signal.SIGHUP, lambda _number, _frame: loop.call_soon_threadsafe(reload))
--- a/llm_router/transport/supervisor.py
+++ b/llm_router/transport/supervisor.py
@@ -1,42 +1,46 @@
-"""Keeps long-lived work going: what ends unexpectedly is logged, counted and started anew."""
+"""Keeps a long-lived task running: one that ends is logged, counted, started anew."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Coroutine
 from datetime import timedelta
+from typing import Any
 
 from llm_router import log
+from llm_router.transport.clock import elapsed_since, to_seconds
 
-FIRST_PAUSE = timedelta(milliseconds=20)  # before a restart; doubled with each failure in a row
-LONGEST_PAUSE = timedelta(milliseconds=500)
-STEADY_AFTER = timedelta(seconds=5)  # work that ran for so long has not failed in a row
+INITIAL_BACKOFF = timedelta(milliseconds=20)  # before a restart; doubled with each further failure
+MAX_BACKOFF = timedelta(milliseconds=500)
+STABLE_AFTER = timedelta(seconds=5)  # work that ran for so long starts with the initial backoff
 
 
 class Supervisor:
-    """Owns one piece of work that is to run until it is stopped."""
+    """Owns a task that is to run until it is stopped."""
 
-    def __init__(self, name: str, work: Callable[[], Coroutine]) -> None:
-        self.name, self.work = name, work
-        self.restarts = 0  # how often the work has ended by itself
-        self.task = asyncio.create_task(self.run())
+    def __init__(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        self._name = name
+        self._work = work
+        self._restarts = 0  # how often the work has ended by itself
+        self._task = asyncio.create_task(self._run())
 
-    async def run(self) -> None:
-        """Run the work again and again."""
+    async def _run(self) -> None:
+        """Run the work, restarting it with a backoff whenever it ends."""
         loop = asyncio.get_running_loop()
-        pause = FIRST_PAUSE
+        backoff = INITIAL_BACKOFF
         while True:
-            begun, error = loop.time(), None
+            start = loop.time()
+            error: Exception | None = None
             try:
-                await self.work()
+                await self._work()
             except Exception as raised:
                 error = raised
-            self.restarts += 1
-            log.emit("task_restarted", task=self.name, restarts=self.restarts, error=repr(error))
-            steady = loop.time() - begun > STEADY_AFTER.total_seconds()
-            pause = FIRST_PAUSE if steady else min(2 * pause, LONGEST_PAUSE)
-            await asyncio.sleep(pause.total_seconds())
+            self._restarts += 1
+            log.emit("task_restarted", task=self._name, restarts=self._restarts, error=repr(error))
+            is_stable = elapsed_since(start) > STABLE_AFTER
+            backoff = INITIAL_BACKOFF if is_stable else min(2 * backoff, MAX_BACKOFF)
+            await asyncio.sleep(to_seconds(backoff))
 
     def stop(self) -> None:
-        """End the work."""
-        self.task.cancel()
+        """Cancel the task."""
+        self._task.cancel()
--- /dev/null
+++ b/llm_router/transport/upstream_connector.py
@@ -0,0 +1,102 @@
+"""Makes connections to endpoints: aiohttp's connector with retries of local errors.
+
+It uses private parts of the pinned aiohttp release; `tests/transport/test_connections.py` checks them."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import functools
+from datetime import timedelta
+from typing import Any
+
+import aiohttp
+from aiohttp.client_proto import ResponseHandler
+from aiohttp.client_reqrep import ClientRequest, ConnectionKey
+from aiohttp.connector import Connection
+from aiohttp.tracing import Trace
+
+from llm_router import log
+from llm_router.transport.clock import to_seconds
+from llm_router.transport.errors import LocalConnectError
+from llm_router.transport.idle_connection_policy import IdleConnectionPolicy
+from llm_router.transport.resilient_socket import LOCAL_ERRORS, LocalSocketError, SocketLimitError
+from llm_router.transport.upstream_connection import UpstreamConnection
+
+INITIAL_BACKOFF = timedelta(milliseconds=1)  # after a connect that failed locally; doubled with each retry
+
+
+class UpstreamConnector(aiohttp.TCPConnector):
+    """aiohttp's connector for `UpstreamConnection`s, whose idle ones can be dropped."""
+
+    def __init__(self, **settings: Any) -> None:  # noqa: ANN401  # aiohttp's
+        super().__init__(**settings)
+        self._factory = functools.partial(  # type: ignore[assignment]  # makes a kind of ResponseHandler
+            UpstreamConnection, loop=self._loop, on_stale=self._on_stale
+        )
+        self._usual_keepalive_timeout = self._keepalive_timeout
+        self.idle_policy = IdleConnectionPolicy(enabled=(self._keepalive_timeout or 0.0) > 0)
+        self.local_failures = 0  # connects that failed because of this machine, in all
+
+    def _on_stale(self, idle_seconds: float) -> None:
+        self.idle_policy.record_stale(self._loop.time(), idle_seconds)
+        self._apply_idle_policy()
+
+    def _apply_idle_policy(self) -> None:
+        self._keepalive_timeout = self._usual_keepalive_timeout if self.idle_policy.reuses else 0.0
+
+    async def _get(self, key: ConnectionKey, traces: list[Trace]) -> Connection | None:
+        self.idle_policy.update(self._loop.time())
+        self._apply_idle_policy()
+        return await super()._get(key, traces)
+
+    async def _create_connection(
+        self, req: ClientRequest, traces: list[Trace], timeout: aiohttp.ClientTimeout
+    ) -> ResponseHandler:
+        """Make a connection, retrying local failures with a backoff within the connect timeout.
+
+        A network that is unreachable all that time counts as the endpoint's failure: others may be
+        reachable."""
+        end = self._loop.time() + (timeout.sock_connect or 0.0)
+        backoff = to_seconds(INITIAL_BACKOFF)
+        while True:
+            try:
+                return await super()._create_connection(req, traces, timeout)
+            except aiohttp.ClientConnectorError as failure:
+                is_last = self._loop.time() + backoff > end
+                self._handle_connect_failure(failure, is_last)
+            await asyncio.sleep(backoff)
+            backoff *= 2
+
+    def _handle_connect_failure(self, failure: aiohttp.ClientConnectorError, is_last: bool) -> None:
+        """Return where the connect may be retried, raise the final error otherwise."""
+        error = failure.os_error
+        if error.errno not in LOCAL_ERRORS and not isinstance(error, LocalSocketError):
+            raise failure
+        log.emit_rate_limited("connect_failed_locally", error=repr(error))
+        self.local_failures += 1
+        if isinstance(error, SocketLimitError):
+            raise LocalConnectError(error.errno, str(error)) from error
+        if not is_last:
+            return
+        if error.errno == errno.ENETUNREACH:
+            raise failure
+        raise LocalConnectError(error.errno, str(error)) from error
+
+    def drop_idle(self, address: str | None = None) -> int:
+        """Close the idle connections to one endpoint, or to all; return how many there were."""
+        dropped = 0
+        for key, idle in list(self._conns.items()):
+            if address not in (None, f"{key.host}:{key.port}"):
+                continue
+            while idle:
+                protocol, _ = idle.popleft()
+                if protocol.transport is not None:
+                    protocol.transport.abort()
+                    dropped += 1
+        return dropped
+
+
+def disable_retries(session: aiohttp.ClientSession) -> None:
+    """Keep aiohttp from resending a DELETE or GET by itself when an idle connection breaks."""
+    session._retry_connection = False
--- /dev/null
+++ b/tests/transport/test_frontend_server.py
@@ -0,0 +1,39 @@
+"""The server of a frontend: its answer to faults of ours, and its shutdown."""
+
+import asyncio
+import json
+from datetime import timedelta
+from types import SimpleNamespace
+
+from stand_ins import within
+
+from llm_router.frontends.kserve import problem
+from llm_router.transport.frontend_server import FrontendServer
+
+
+def test_a_fault_of_ours_is_answered_in_the_words_of_the_frontend(configuration):
+    async def fails(_request):
+        raise RuntimeError("a fault")
+
+    async def test():
+        answer = await FrontendServer(configuration(), fails, problem).handle(None)
+        assert answer.status == 500 and json.loads(answer.body)["error"]
+
+    asyncio.run(test())
+
+
+def test_the_listener_is_closed_only_when_nobody_waits_to_be_accepted(monkeypatch, configuration):
+    monkeypatch.setattr("llm_router.transport.shutdown.LINGER", timedelta())
+    monkeypatch.setattr("llm_router.transport.shutdown.ACCEPT_TIMEOUT", timedelta(seconds=9))
+
+    async def test():
+        server, closed = FrontendServer(configuration(), None, problem), asyncio.Event()
+        server.acceptor = SimpleNamespace(close=closed.set, drained=False, failing=False)
+        stopping = asyncio.ensure_future(server.shut_down())
+        await asyncio.sleep(0.03)
+        assert not closed.is_set()
+        server.acceptor.drained = True
+        await within(stopping)
+        assert closed.is_set()
+
+    asyncio.run(test())
--- /dev/null
+++ b/tests/transport/test_http_server.py
@@ -0,0 +1,93 @@
+"""Client connections: which ones give way to new ones, and when one is idle."""
+
+import asyncio
+from types import SimpleNamespace
+
+from aiohttp import web
+
+from llm_router.transport.client_connection import ClientConnection
+from llm_router.transport.clock import to_seconds
+from llm_router.transport.http_server import NEW_CONNECTION_AGE, HttpServer, ServerLimits
+from llm_router.transport.rejected_connection import RejectedConnection
+
+
+def limits(max_connections, max_rejected=1, size=5):
+    return ServerLimits(max_connections, max_rejected, size, size)
+
+
+def test_each_connection_accepted_over_the_limit_makes_another_one_close():
+    async def never(_request):
+        raise AssertionError("no request comes")
+
+    class Transport:
+        def __init__(self):
+            self.closed = False
+
+        def close(self):
+            self.closed = True
+
+        def get_extra_info(self, _name):
+            return None
+
+    async def test():
+        server, transports = HttpServer(never, None, limits(3)), [Transport() for _ in range(3)]
+        for transport in transports:
+            connection = server()
+            connection.connection_made(transport)
+            connection.idle_since -= 2 * to_seconds(NEW_CONNECTION_AGE)
+        accepted = [server() for _ in range(4)]  # as many as the loop accepts in one go
+        assert [type(each) for each in accepted] == [ClientConnection] * 3 + [RejectedConnection]
+        assert all(transport.closed for transport in transports)
+
+    asyncio.run(test())
+
+
+def test_a_flood_is_met_without_a_check_of_every_connection(monkeypatch):
+    checked = []
+    is_idle = ClientConnection.is_idle
+
+    def check(connection):
+        checked.append(connection)
+        return is_idle.fget(connection)
+
+    monkeypatch.setattr(ClientConnection, "is_idle", property(check))
+
+    async def test():
+        server = HttpServer(None, None, limits(50))
+        for _ in range(50):
+            connection = ClientConnection(server, loop=asyncio.get_running_loop())
+            connection.transport, connection.idle_since = SimpleNamespace(close=lambda: None), 0.0
+            server._connections[connection] = None
+        oldest = next(iter(server._connections))
+        assert server.evict() and oldest.transport is None
+        assert checked == [oldest]
+
+    asyncio.run(test())
+
+
+def test_a_connection_with_a_request_is_at_no_moment_idle_until_its_answer():
+    async def test():
+        handled, answer = asyncio.Event(), asyncio.Event()
+
+        async def handle(_request):
+            handled.set()
+            await answer.wait()
+            return web.Response(text="done")
+
+        server = HttpServer(handle, None, limits(5, 5, 500))
+        listener = await asyncio.get_running_loop().create_server(server, "127.0.0.1", 0)
+        reader, writer = await asyncio.open_connection(*listener.sockets[0].getsockname())
+        writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+        while not (connections := server.connections) or not connections[0]._request_count:
+            await asyncio.sleep(0)
+        while not handled.is_set():
+            assert not connections[0].all_answered, "read, and about to be handled"
+            await asyncio.sleep(0)
+        server.drain()
+        assert not connections[0].all_answered
+        answer.set()
+        assert (await asyncio.wait_for(reader.read(), 10)).endswith(b"done")
+        writer.close()
+        listener.close()
+
+    asyncio.run(test())
--- /dev/null
+++ b/tests/transport/test_pool.py
@@ -0,0 +1,199 @@
+"""The connection pool: its bounds, its idle connections, and calls that are given up."""
+
+import asyncio
+import socket
+from datetime import timedelta
+from types import SimpleNamespace
+
+from stand_ins import accept_release, within
+
+from llm_router.lifecycle import reducer
+from llm_router.lifecycle.events import AttemptEnded, RequestReceived
+from llm_router.routing.events import AttemptStatus, ConnectionFault
+from llm_router.transport.frontend_protocol import UpstreamRequest
+from llm_router.transport.pool import UpstreamCall
+
+TIMEOUT = timedelta(seconds=5)
+SMALL_LIMITS = {"sockets": 64, "memory_mb": 96}
+
+
+def release(endpoint, request_id="a"):
+    return UpstreamCall("DELETE", endpoint.address, f"/v1/holds/{request_id}")
+
+
+def proxied_request(answered):
+    """Return a request whose event is set by its rejection or failure."""
+    upstream_request = UpstreamRequest("POST", "/v1/chat/completions", {}, b"{}")
+    return SimpleNamespace(
+        upstream_request=lambda _: upstream_request,
+        reject=lambda _: answered.set(),
+        fail=lambda _: answered.set(),
+    )
+
+
+def test_connections_are_bounded_and_idle_ones_give_way(runtime_with_endpoints):
+    async def test():
+        async with runtime_with_endpoints(limits=SMALL_LIMITS) as deployment:
+            pool = deployment.runtime.pool
+            assert pool.socket_budget.max_sockets == 27
+            calls = (pool.call(release(deployment.prefill), TIMEOUT) for _ in range(40))
+            statuses = await asyncio.gather(*calls)
+            assert 1 <= statuses.count(204) <= 27 and statuses.count(None) == 40 - statuses.count(204)
+            assert await pool.call(release(deployment.decode), TIMEOUT) == 204
+
+    asyncio.run(test())
+
+
+def test_closed_connections_do_not_count_against_the_limit(runtime_with_endpoints):
+    async def test():
+        async with runtime_with_endpoints(limits=SMALL_LIMITS) as deployment:
+            pool = deployment.runtime.pool
+            budget = pool.socket_budget
+            form = (socket.AF_INET, socket.SOCK_STREAM, 0)
+            closed = [budget.open(form) for _ in range(budget.max_sockets - budget.release_sockets)]
+            for each in closed:  # still referred to, as by the cycles that only the garbage collector ends
+                each.close()
+            assert await pool.call(release(deployment.prefill), TIMEOUT) == 204
+
+    asyncio.run(test())
+
+
+def test_a_silent_endpoint_gets_its_idle_connections_dropped(runtime_with_endpoints):
+    async def silent_on_post(call, writer):
+        if call[0].startswith("POST"):
+            await asyncio.Event().wait()
+        await accept_release(call, writer)
+
+    async def test():
+        async with runtime_with_endpoints(prefill=silent_on_post) as deployment:
+            runtime = deployment.runtime
+            pool = runtime.pool
+            for endpoint in (deployment.prefill, deployment.decode):
+                calls = (pool.call(release(endpoint), TIMEOUT) for _ in range(3))
+                assert await asyncio.gather(*calls) == [204] * 3
+            answered = asyncio.Event()
+            runtime.proxied_requests["q"] = proxied_request(answered)
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
+            await within(answered.wait())
+            assert pool.connector.drop_idle(deployment.prefill.address) == 0, (
+                "none is left to wait on in vain"
+            )
+            assert pool.connector.drop_idle(deployment.decode.address) == 3
+            await within(runtime.wait_until_idle())
+
+    asyncio.run(test())
+
+
+def test_stale_connections_are_reported_as_such_and_then_none_is_reused(monkeypatch, runtime_with_endpoints):
+    broken = asyncio.Event()
+    ended = []
+    handle_attempt_ended = reducer.HANDLERS[AttemptEnded]
+
+    def record(state, now, event):
+        ended.append(event)
+        return handle_attempt_ended(state, now, event)
+
+    monkeypatch.setitem(reducer.HANDLERS, AttemptEnded, record)
+
+    async def drops(call, writer):
+        if broken.is_set():
+            writer.transport.abort()
+        else:
+            await accept_release(call, writer)
+
+    async def test():
+        async with runtime_with_endpoints(prefill=drops) as deployment:
+            runtime = deployment.runtime
+            pool = runtime.pool
+            policy = pool.connector.idle_policy
+            calls = (pool.call(release(deployment.prefill), TIMEOUT) for _ in range(2))
+            assert await asyncio.gather(*calls) == [204, 204] and policy.reuses
+            broken.set()
+            assert await pool.call(release(deployment.prefill, "b"), TIMEOUT) is None
+            assert policy.reuses, "one alone may have been closed as idle"
+            answered = asyncio.Event()
+            runtime.proxied_requests["q"] = proxied_request(answered)
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
+            await within(answered.wait())
+            await within(runtime.wait_until_idle())
+            ends = [(each.status, each.connection_fault) for each in ended]
+            assert (
+                ends[0] == (AttemptStatus.RESET, ConnectionFault.STALE)
+                and (AttemptStatus.RESET, ConnectionFault.NONE) in ends
+            ), "the next were new ones"
+            assert not policy.reuses
+
+    asyncio.run(test())
+
+
+def test_connections_closed_by_us_or_closed_while_idle_are_not_stale(runtime_with_endpoints):
+    silent = asyncio.Event()
+
+    async def answers(call, writer):
+        if silent.is_set():
+            await asyncio.Event().wait()
+        await accept_release(call, writer)
+        if call[0].startswith("GET"):
+            writer.close()  # right behind the answer, as what is idle is closed
+
+    async def test():
+        async with runtime_with_endpoints(prefill=answers) as deployment:
+            pool = deployment.runtime.pool
+            policy = pool.connector.idle_policy
+
+            async def call_four_times(method, timeout=TIMEOUT):
+                call = UpstreamCall(method, deployment.prefill.address, "/v1/holds/a")
+                return await asyncio.gather(*(pool.call(call, timeout) for _ in range(4)))
+
+            assert await call_four_times("DELETE") == [204] * 4
+            assert await call_four_times("GET") == [204] * 4, "on the idle connections"
+            while await call_four_times("DELETE") != [204] * 4:  # some may meet a close on its way
+                pass
+            stale_before = policy.stale_at.copy()
+            silent.set()
+            assert await call_four_times("DELETE", timedelta(milliseconds=50)) == [None] * 4
+            await within(deployment.prefill.closed.get())
+            assert policy.stale_at == stale_before
+
+    asyncio.run(test())
+
+
+def test_a_request_given_up_half_written_is_never_written_to_its_end(runtime_with_endpoints):
+    large = b"x" * (32 << 20)  # more than both ends of a connection take for an endpoint that does not read
+
+    async def test():
+        arrived, resumed, ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        sizes = []
+
+        async def reads_late(reader, writer):
+            arrived.set()
+            await resumed.wait()
+            size = 0
+            try:
+                while data := await reader.read(1 << 20):
+                    size += len(data)
+            except ConnectionError:
+                pass
+            sizes.append(size)
+            ended.set()
+            writer.close()
+
+        listener = await asyncio.start_server(reads_late, "127.0.0.1", 0)
+        address = f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"
+        async with runtime_with_endpoints() as deployment:
+            call = UpstreamCall("POST", address, "/v1/chat/completions", body=large)
+
+            async def send():
+                await deployment.runtime.pool.request(call)
+
+            sending = asyncio.ensure_future(send())
+            await within(arrived.wait())
+            sending.cancel()
+            await within(asyncio.wait({sending}))
+            await asyncio.sleep(0)
+            resumed.set()
+            await within(ended.wait())
+            assert 0 < sizes[0] < len(large)
+        listener.close()
+
+    asyncio.run(test())
