--- a/llm_router/__main__.py
+++ b/llm_router/__main__.py
@@ -12,7 +12,7 @@
 from llm_router.configuration import ConfigurationError, RouterConfig, load_configuration
 from llm_router.service import serve
 from llm_router.transport import signals
-from llm_router.transport.arrival import Loop
+from llm_router.transport.event_loop import TimedEventLoop
 
 EXIT_INVALID = 2  # the configuration is at fault; the log names the key
 
@@ -29,7 +29,7 @@
 
     try:
         config = load_configuration(os.environ, standalone_file)
-        with asyncio.Runner(loop_factory=Loop) as runner:
+        with asyncio.Runner(loop_factory=TimedEventLoop) as runner:
             runner.run(serve(config, reload_config))
     except ConfigurationError as error:
         log.emit("configuration_invalid", error=str(error))
--- a/llm_router/frontends/kserve/frontend.py
+++ b/llm_router/frontends/kserve/frontend.py
@@ -22,9 +22,10 @@
 from llm_router.lifecycle.events import EndpointListReceived
 from llm_router.routing.events import EndpointStatus
 from llm_router.routing.settings import Role
+from llm_router.transport.frontend_server import FrontendServer
 from llm_router.transport.pool import ConnectionPool
+from llm_router.transport.responses import target
 from llm_router.transport.runtime import Runtime
-from llm_router.transport.server import FrontendServer, target
 
 SERVER_NAME = "hoplane"  # the program's first name: clients may check it
 EXTENSIONS = ["binary_tensor_data"]
@@ -103,8 +104,7 @@
                 continue
             answer = await self.pool.fetch(endpoint.address, path, METADATA_TIMEOUT)
             if answer is not None:
-                status, body = answer
-                return web.Response(status=status, body=body, content_type=JSON_CONTENT_TYPE)
+                return web.Response(status=answer.status, body=answer.body, content_type=JSON_CONTENT_TYPE)
         return error_response(503, "no endpoint tells of this model", NO_METADATA_BACKOFF)
 
     async def _infer_within_memory(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
--- a/llm_router/frontends/kserve/proxied_request.py
+++ b/llm_router/frontends/kserve/proxied_request.py
@@ -15,7 +15,7 @@
 from llm_router.lifecycle.events import RequestReceived
 from llm_router.routing.events import AttemptStatus
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
-from llm_router.transport.server import target
+from llm_router.transport.responses import target
 
 FORWARDED_HEADERS = ("Content-Type", INFERENCE_HEADER_LENGTH)  # in both directions
 NOT_PROCESSED = "X-Unprocessed"  # as on the platform; v2 itself has no such promise
--- a/llm_router/frontends/kserve/responses.py
+++ b/llm_router/frontends/kserve/responses.py
@@ -7,7 +7,7 @@
 import orjson
 from aiohttp import web
 
-from llm_router.transport.server import retry_after
+from llm_router.transport.responses import retry_after
 
 JSON_CONTENT_TYPE = "application/json"
 OVERLOADED_BACKOFF = timedelta(seconds=1)  # what a client is told to wait where a resource limit is met
--- a/llm_router/frontends/platform/frontend.py
+++ b/llm_router/frontends/platform/frontend.py
@@ -11,8 +11,9 @@
 from llm_router.frontends.platform.proxied_request import PlatformRequest
 from llm_router.frontends.request_handling import InvalidRequestError, after_queueing, run_request
 from llm_router.lifecycle.events import RequestReceived
+from llm_router.transport.frontend_server import FrontendServer
+from llm_router.transport.responses import problem
 from llm_router.transport.runtime import Runtime
-from llm_router.transport.server import FrontendServer, problem
 
 
 class PlatformFrontend:
--- a/llm_router/frontends/platform/proxied_request.py
+++ b/llm_router/frontends/platform/proxied_request.py
@@ -12,9 +12,10 @@
 from llm_router.frontends.platform.names import REQUEST_ID, TIME_REMAINING_MS
 from llm_router.lifecycle.effects import OpenAttempt
 from llm_router.lifecycle.events import RequestReceived
+from llm_router.transport.event_stream import EventStreamSink, StreamedResponse
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
-from llm_router.transport.server import EventStreamSink, StreamedResponse, problem, target
-from llm_router.transport.server import retry_after as format_retry_after
+from llm_router.transport.responses import problem, target
+from llm_router.transport.responses import retry_after as format_retry_after
 
 STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 
--- a/llm_router/frontends/request_handling.py
+++ b/llm_router/frontends/request_handling.py
@@ -10,8 +10,8 @@
 
 from llm_router.lifecycle.events import ClientDisconnected, RequestReceived
 from llm_router.transport.frontend_protocol import ProxiedRequest
+from llm_router.transport.responses import MARGIN
 from llm_router.transport.runtime import Runtime
-from llm_router.transport.server import MARGIN
 
 MAX_KEY_LENGTH = 256  # characters of a session or prefix: the routing policy keeps them for minutes
 NO_TIME = timedelta()
--- a/llm_router/service.py
+++ b/llm_router/service.py
@@ -23,9 +23,9 @@
 from llm_router.frontends.registry_list import read_list
 from llm_router.transport import signals
 from llm_router.transport.discovery import Discovery
+from llm_router.transport.frontend_server import FrontendServer
 from llm_router.transport.pool import DISCOVERY_SOCKETS, RELEASE_SOCKETS, ConnectionPool
 from llm_router.transport.runtime import Runtime
-from llm_router.transport.server import FrontendServer
 from llm_router.transport.supervisor import Supervisor
 from llm_router.xds.watch import XdsFileWatch
 
@@ -79,7 +79,7 @@
         """Serve until a signal asks for the shutdown, and then until all accepted requests are answered."""
         stop_requested = asyncio.Event()
         # First, as the server may have accepted a request from its start on.
-        signals.heed(stop_requested.set, self.reload)
+        signals.install(stop_requested.set, self.reload)
         await self._start()
         garbage_collector = Supervisor("tidy", collect_garbage)
         await stop_requested.wait()
@@ -122,7 +122,7 @@
             return
         self._replace_watch(endpoint_watch)
         self.frontend.server.apply_limits(new.limits)
-        self.pool.max_sockets = new.limits.upstream_sockets
+        self.pool.socket_budget.max_sockets = new.limits.upstream_sockets
         waiting = self.config.changes_after_restart(new)
         self.config = replace(self.config, **{name: getattr(new, name) for name in RELOADED_FIELDS})
         log.emit("configuration_reloaded", watch=str(endpoint_watch), at_next_start=waiting)
--- a/tests/lifecycle/test_send_guard.py
+++ b/tests/lifecycle/test_send_guard.py
@@ -1,18 +1,16 @@
 """The last check before an attempt is written: each rule forbids it alone, and a way round it is counted."""
 
-import asyncio
 from dataclasses import replace
 from datetime import timedelta
 
 import pytest
-from reducer_harness import MILLISECOND, SECOND, ReducerHarness, endpoint, start
-from stand_ins import StandInServer, accept_release, hang, run
+from reducer_harness import MILLISECOND, SECOND, ReducerHarness, endpoint
 
 from llm_router.lifecycle import effects, events
-from llm_router.lifecycle.attempt import Attempt, AttemptState
+from llm_router.lifecycle.attempt import AttemptState
 from llm_router.lifecycle.events import ReservationOutcome
 from llm_router.lifecycle.request import RequestState
-from llm_router.lifecycle.send_guard import Denial, check_reserve, write_denial
+from llm_router.lifecycle.send_guard import Denial, write_denial
 from llm_router.routing.events import AttemptStatus, EndpointStatus
 
 
@@ -118,32 +116,3 @@
     lifecycle.feed(events.EndpointListReceived((draining,), False))
     lifecycle.feed(events.ReservationEnded("q", 0, ReservationOutcome.UNKNOWN), 300 * MILLISECOND)
     assert not lifecycle.effects_of(effects.Reserve)
-
-
-def test_a_reservation_is_checked_once_more_when_its_connection_is_up():
-    async def test():
-        async with StandInServer(accept_release) as prefill, StandInServer(hang) as decode:
-            runtime = start(prefill, decode)
-            runtime.proxied_requests["q"] = None
-            received = events.RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s")
-            runtime.state.policy.handle = lambda *_: []
-            runtime.feed(received)
-            prefill_attempt = Attempt(runtime.state.numbers["r1"], is_prefill=True, opened_at=SECOND)
-            runtime.state.requests["q"].attempts.append(prefill_attempt)
-            (drained,) = [each for each in runtime.state.endpoints.values() if each.kind == "decode"]
-            runtime.state.endpoints[runtime.state.numbers[drained.name]] = replace(
-                drained, status=EndpointStatus.DRAINING
-            )
-            prefill_written, ended = asyncio.Event(), []
-            prefill_written.set()
-            runtime.held_calls.feed = ended.append
-            prefilling = asyncio.ensure_future(asyncio.sleep(1))
-            reserve = effects.Reserve("q", 0, drained)
-            assert check_reserve(runtime.state, reserve) is Denial.ENDPOINT_NOT_READY
-            await runtime.held_calls.reserve(reserve, prefill_written, lambda: prefilling)
-            assert [each.outcome for each in ended] == [ReservationOutcome.REJECTED]
-            assert not decode.calls
-            prefilling.cancel()
-            await runtime.pool.close()
-
-    run(test())
