--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Reads KNOWN-RED.txt, the list of tests that are known to fail: a line each as `test | cause | issue`."""
+"""Expect the failures in KNOWN-RED.txt, which has a line `test | cause | issue` for each known one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-KNOWN_RED_MOST = 3
+MAX_KNOWN_RED = 3
 
 
 @dataclass(frozen=True)
@@ -22,34 +22,40 @@
 
 
 def read_known_red(root: Path) -> list[KnownRed]:
-    """Read and check the list; a test that is not there, or a line too many, fails the run."""
+    """Read the list; raise pytest.UsageError where it is too long or malformed, or names no existing test."""
     file = root / "KNOWN-RED.txt"
-    lines = [line for line in file.read_text().splitlines() if line.strip()] if file.exists() else []
-    if len(lines) > KNOWN_RED_MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} lines, at most {KNOWN_RED_MOST} are allowed")
-    known = []
-    for line in lines:
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts):
-            raise pytest.UsageError(f"KNOWN-RED.txt: not `test | cause | issue`: {line}")
-        known.append(KnownRed(*parts))
-        if not defined(root, known[-1].test):
-            raise pytest.UsageError(f"KNOWN-RED.txt: there is no test {known[-1].test}")
+    if not file.exists():
+        return []
+    lines = [line for line in file.read_text().splitlines() if line.strip()]
+    if len(lines) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} lines, at most {MAX_KNOWN_RED} are allowed")
+    return [parse_known_red(line, root) for line in lines]
+
+
+def parse_known_red(line: str, root: Path) -> KnownRed:
+    """Parse one line; raise pytest.UsageError where it is malformed or names no existing test."""
+    parts = [part.strip() for part in line.split("|")]
+    if len(parts) != 3 or not all(parts):
+        raise pytest.UsageError(f"KNOWN-RED.txt: not `test | cause | issue`: {line}")
+    known = KnownRed(*parts)
+    if not is_defined(root, known.test):
+        raise pytest.UsageError(f"KNOWN-RED.txt: there is no test {known.test}")
     return known
 
 
-def defined(root: Path, test: str) -> bool:
-    """Tell whether a test's file defines its function."""
+def is_defined(root: Path, test: str) -> bool:
+    """Return whether a test's file defines its function."""
     path, _, name = test.partition("::")
     file = root / path
     if not file.is_file():
         return False
-    functions = (each for each in ast.parse(file.read_text()).body if isinstance(each, ast.FunctionDef))
-    return name.partition("[")[0] in {each.name for each in functions}
+    module = ast.parse(file.read_text())
+    functions = {node.name for node in module.body if isinstance(node, ast.FunctionDef)}
+    return name.partition("[")[0] in functions
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark what is known to fail: it has to fail, or the run does."""
+    """Mark the tests that are known to fail; one that passes fails the run."""
     config.known_red = read_known_red(ROOT)
     for known in config.known_red:
         for item in items:
@@ -58,6 +64,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the list, so that nobody takes the run for a whole one."""
+    """Print the list, so that nobody takes the run for a complete one."""
     for known in getattr(config, "known_red", ()):
         terminalreporter.write_line(f"known red: {known.test}: {known.cause} (issue {known.issue})")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail is short, true and printed."""
+"""The list of tests that are known to fail is short, correct and printed."""
 
 import subprocess
 import sys
@@ -19,7 +19,7 @@
 """
 
 
-def play(folder: Path, *lines: str) -> subprocess.CompletedProcess:
+def run_suite(folder: Path, *lines: str) -> subprocess.CompletedProcess:
     """Run a small suite with a list of its own."""
     (folder / "tests").mkdir()
     (folder / "tests" / "conftest.py").write_text(HOOK)
@@ -33,19 +33,19 @@
 
 
 def test_what_is_listed_may_fail_and_is_printed(tmp_path):
-    run = play(tmp_path, RED)
-    assert run.returncode == 0, run.stdout
-    assert "known red: tests/test_it.py::test_red: it fails (issue 10)" in run.stdout
-    assert "1 passed, 1 xfailed" in run.stdout
+    result = run_suite(tmp_path, RED)
+    assert result.returncode == 0, result.stdout
+    assert "known red: tests/test_it.py::test_red: it fails (issue 10)" in result.stdout
+    assert "1 passed, 1 xfailed" in result.stdout
 
 
 def test_what_is_listed_must_fail(tmp_path):
-    run = play(tmp_path, RED, "tests/test_it.py::test_green | it passes | 10")
-    assert run.returncode == 1 and "strict" in run.stdout
+    result = run_suite(tmp_path, RED, "tests/test_it.py::test_green | it passes | 10")
+    assert result.returncode == 1 and "strict" in result.stdout
 
 
 def test_what_is_not_listed_fails_the_run(tmp_path):
-    assert play(tmp_path).returncode == 1
+    assert run_suite(tmp_path).returncode == 1
 
 
 @pytest.mark.parametrize(
@@ -59,5 +59,5 @@
     ids=["a fourth line", "an unknown test", "an unknown file", "a line cut short"],
 )
 def test_a_list_that_is_wrong_fails_the_run(tmp_path, lines):
-    run = play(tmp_path, *lines)
-    assert run.returncode not in (0, 5) and "KNOWN-RED.txt" in run.stdout + run.stderr
+    result = run_suite(tmp_path, *lines)
+    assert result.returncode not in (0, 5) and "KNOWN-RED.txt" in result.stdout + result.stderr
