--- /dev/null
+++ b/tests/support/late_listener.py
@@ -0,0 +1,42 @@
+"""Listen at an address whose connections come up late."""
+
+import asyncio
+import socket
+
+QUEUE_FILLERS = 4  # connections that fill the listener's queue
+
+
+class LateListener:
+    """An address whose connections come up once it is opened: until then the listener's queue is full."""
+
+    def __init__(self):
+        self.listener = socket.socket()
+        self.listener.bind(("127.0.0.1", 0))
+        self.listener.listen(0)
+        self.listener.setblocking(False)
+        self.address = "{}:{}".format(*self.listener.getsockname())
+        self.fillers = [socket.socket() for _ in range(QUEUE_FILLERS)]
+        for filler in self.fillers:
+            filler.setblocking(False)
+            filler.connect_ex(self.listener.getsockname())
+
+    def close(self):
+        """Close the listener and what fills its queue."""
+        for each in (*self.fillers, self.listener):
+            each.close()
+
+    async def open(self, serve):
+        """Let connections come up, and return the server that serves them."""
+        self.drain_queue()
+        for filler in self.fillers:
+            filler.close()
+        return await asyncio.start_server(serve, sock=self.listener)
+
+    def drain_queue(self):
+        """Accept and close what fills the queue."""
+        while True:
+            try:
+                accepted, _ = self.listener.accept()
+            except BlockingIOError:
+                return
+            accepted.close()
--- /dev/null
+++ b/tests/support/stand_in_server.py
@@ -0,0 +1,77 @@
+"""Serve HTTP calls by a function that the test gives, and record them."""
+
+import asyncio
+
+from time_limits import within
+
+from llm_router.emulator.http import read_message
+
+
+class StandInServer:
+    """A server that answers each call by `handler(call, writer)`, and records what arrives."""
+
+    def __init__(self, handler):
+        self.handler = handler
+        self.calls = []
+        self.call_received = asyncio.Condition()
+        self.closed = asyncio.Queue()  # the calls whose connection ended before their answer
+        self.open = set()  # transports of the connections that are open
+
+    @property
+    def play(self):
+        """The handler, by the name that tests still use."""
+        return self.handler
+
+    @play.setter
+    def play(self, handler):
+        self.handler = handler
+
+    async def __aenter__(self):
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
+        return self
+
+    async def __aexit__(self, *_):
+        self.server.close()
+
+    async def serve(self, reader, writer):
+        """Answer the calls on one connection."""
+        self.open.add(writer.transport)
+        try:
+            while call := await read_message(reader):
+                await self.record(call)
+                answered = await self.answer_unless_closed(call, reader, writer)
+                if not answered or writer.is_closing():
+                    return
+        finally:
+            self.open.discard(writer.transport)
+            writer.close()
+
+    async def record(self, call):
+        """Record a call, and wake who waits for it."""
+        async with self.call_received:
+            self.calls.append(call)
+            self.call_received.notify_all()
+
+    async def answer_unless_closed(self, call, reader, writer):
+        """Answer a call; return whether that ended before the other side closed the connection."""
+        answering = asyncio.ensure_future(self.handler(call, writer))
+        disconnected = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait({answering, disconnected}, return_when=asyncio.FIRST_COMPLETED)
+        if not answering.done():
+            answering.cancel()
+            self.closed.put_nowait(call)
+            return False
+        disconnected.cancel()
+        await asyncio.wait({disconnected})
+        return True
+
+    def named(self, start):
+        """Return the calls whose first line starts so."""
+        return [call for call in self.calls if call[0].startswith(start)]
+
+    async def wait_for(self, start, count=1):
+        """Wait until so many calls whose first line starts so have arrived, and return them."""
+        async with self.call_received:
+            await within(self.call_received.wait_for(lambda: len(self.named(start)) >= count))
+        return self.named(start)
