--- a/tests/frontends/test_kserve.py
+++ b/tests/frontends/test_kserve.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from kserve_sidecar import ANSWER, assignment, infer, sidecar
+from kserve_sidecar import ANSWER, assignment, infer, sidecar, status
 from stand_ins import StandInServer, message, run, within
 
 
@@ -47,15 +47,6 @@
     return message(f"GET {path} HTTP/1.1", Host="h")
 
 
-async def status(program, data):
-    first, headers, body = await program.exchange(data)
-    code = int(first.split()[1])
-    assert code < 400 or code in (413,) or json.loads(body)["error"]
-    if code == 503:
-        assert float(headers["retry-after"]) > 0, "a rejection says when to retry"
-    return code
-
-
 def test_an_inference_is_forwarded_unchanged_in_both_directions(tmp_path):
     async def test():
         async with StandInServer(serve) as server, sidecar(tmp_path, server) as program:
--- a/tests/support/kserve_sidecar.py
+++ b/tests/support/kserve_sidecar.py
@@ -61,3 +61,13 @@
     }
     body = json.dumps(inference).encode()
     return message(f"POST /v2/models/{model}/infer HTTP/1.1", body, Host="h", Content_Type="application/json")
+
+
+async def status(program, data):
+    """Return the status of an exchange, whose error texts and Retry-After are checked."""
+    first, headers, body = await program.exchange(data)
+    code = int(first.split()[1])
+    assert code < 400 or code in (413,) or json.loads(body)["error"]
+    if code == 503:
+        assert float(headers["retry-after"]) > 0, "a rejection says when to retry"
+    return code
--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -4,6 +4,7 @@
 import time
 
 import pytest
+from kserve_sidecar import ANSWER, assignment, infer, sidecar, status
 from stand_ins import (
     EVENT,
     STREAM,
@@ -20,7 +21,6 @@
     router_with_endpoints,
     run,
 )
-from test_kserve import ANSWER, assignment, infer, sidecar, status
 
 HEAD, _, BODY = chat_request().partition(b"\r\n\r\n")
 BARE = HEAD.replace(b"\r\nContent-Length: 15", b"")
@@ -319,7 +319,7 @@
             program.endpoints.write_text(assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY")))
             await program.wait_for_log("endpoint_list_updated")
             for number in range(4):
-                assert await status(program, infer(id=f"l{number}", cls="lookup")) == 200
+                assert await status(program, infer(request_id=f"l{number}", cls="lookup")) == 200
             assert not await program.faults()
 
     async def test():
