--- a/tests/frontends/test_platform_endpoint_list.py
+++ b/tests/frontends/test_platform_endpoint_list.py
@@ -17,7 +17,7 @@
 def test_a_draining_endpoint_gets_no_new_requests(tmp_path):
     async def test():
         async with StandInServer(decode) as other, router_with_endpoints(tmp_path) as program:
-            drained = registry_entry("w1", program.writer.address, "decode", "Terminating")
+            drained = registry_entry("w1", program.decode_server.address, "decode", "Terminating")
             await program.discovery.publish(
                 [program.entries[0], drained, registry_entry("w2", other.address, "decode")]
             )
@@ -25,7 +25,7 @@
                 pass
             for number in range(6):
                 assert (await program.exchange(chat_request(id=f"r{number}")))[0].split()[1] == "200"
-            assert not program.writer.named("POST") and len(other.named("POST /v1/chat")) == 6
+            assert not program.decode_server.named("POST") and len(other.named("POST /v1/chat")) == 6
 
     run(test())
 
@@ -35,7 +35,7 @@
         async with router_with_endpoints(tmp_path) as program:
             await program.discovery.wait_for("GET /registry/instances?since=1")
             with monkeypatch.context() as patch:
-                patch.setattr(program.discovery, "play", close_connection)
+                patch.setattr(program.discovery, "handler", close_connection)
                 await program.discovery.publish([])
                 await program.wait_for_log("discovery_lost")
             await program.discovery.publish([{**program.entries[0], "status": "Terminating"}])
--- a/tests/frontends/test_platform_failures.py
+++ b/tests/frontends/test_platform_failures.py
@@ -30,12 +30,12 @@
             await decode(call, writer)
 
     async def test():
-        async with router_with_endpoints(tmp_path, write=close_mid_stream) as program:
+        async with router_with_endpoints(tmp_path, decode=close_mid_stream) as program:
             reader, writer = await program.connect()
             writer.write(chat_request())
             received = await within(reader.read())
             assert EVENT in received and not received.endswith(b"0\r\n\r\n")
-            assert len(program.writer.named("POST /v1/chat")) == 1, "nothing further is sent"
+            assert len(program.decode_server.named("POST /v1/chat")) == 1, "nothing further is sent"
 
     run(test())
 
@@ -54,14 +54,14 @@
     async def test():
         async with (
             StandInServer(fail_once) as second,
-            router_with_endpoints(tmp_path, write=fail_once) as program,
+            router_with_endpoints(tmp_path, decode=fail_once) as program,
         ):
             await program.discovery.publish(
                 [*program.entries, registry_entry("w2", second.address, "decode")]
             )
             await program.wait_for_log("endpoint_list_updated")
             assert (await program.exchange(chat_request(cls=cls)))[0].split()[1] == status
-            chats = program.writer.named("POST /v1/chat") + second.named("POST /v1/chat")
+            chats = program.decode_server.named("POST /v1/chat") + second.named("POST /v1/chat")
             assert len(chats) == attempts
 
     run(test())
@@ -69,23 +69,25 @@
 
 def test_a_client_disconnect_aborts_the_prefill_and_releases_its_state(tmp_path):
     async def test():
-        async with router_with_endpoints(tmp_path, read=never_prefill) as program:
+        async with router_with_endpoints(tmp_path, prefill=never_prefill) as program:
             _, writer = await program.connect()
             writer.write(chat_request())
-            await program.reader.wait_for("POST /v1/chat")
+            await program.prefill_server.wait_for("POST /v1/chat")
             writer.close()
-            assert (await within(program.reader.closed.get()))[0].startswith("POST /v1/chat")
-            assert (await program.reader.wait_for("DELETE /v1/holds/r1")) or program.writer.named("DELETE")
+            assert (await within(program.prefill_server.closed.get()))[0].startswith("POST /v1/chat")
+            assert (
+                await program.prefill_server.wait_for("DELETE /v1/holds/r1")
+            ) or program.decode_server.named("DELETE")
 
     run(test())
 
 
 def test_a_request_past_its_deadline_is_rejected_and_released(tmp_path):
     async def test():
-        async with router_with_endpoints(tmp_path, read=never_prefill) as program:
+        async with router_with_endpoints(tmp_path, prefill=never_prefill) as program:
             first, headers, _ = await program.exchange(chat_request(left=300))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
-            await program.reader.wait_for("DELETE /v1/holds/r1")
+            await program.prefill_server.wait_for("DELETE /v1/holds/r1")
 
     run(test())
 
@@ -108,9 +110,9 @@
 
 def test_a_release_goes_to_another_endpoint_if_the_first_does_not_answer(tmp_path):
     async def test():
-        async with router_with_endpoints(tmp_path, read=hang) as program:
+        async with router_with_endpoints(tmp_path, prefill=hang) as program:
             assert (await program.exchange(chat_request(left=300)))[0].split()[1] == "503"
-            assert await program.writer.wait_for("DELETE /v1/holds/r1")
+            assert await program.decode_server.wait_for("DELETE /v1/holds/r1")
 
     run(test())
 
@@ -125,17 +127,19 @@
 )
 def test_a_client_disconnect_is_noticed_pipelined_pipelined_bytes(tmp_path, pipelined):
     async def test():
-        async with router_with_endpoints(tmp_path, read=never_prefill, write=hang) as program:
+        async with router_with_endpoints(tmp_path, prefill=never_prefill, decode=hang) as program:
             _, client = await program.connect()
             client.write(chat_request("r1"))
-            await program.reader.wait_for("POST")
+            await program.prefill_server.wait_for("POST")
             client.write(b"".join(pipelined))
             await within(client.drain())
             await asyncio.sleep(0.2)
             client.close()
-            await within(program.reader.closed.get(), 1)
+            await within(program.prefill_server.closed.get(), 1)
             await asyncio.sleep(0.3)
-            posts = program.reader.named("POST /v1/chat") + program.writer.named("POST /v1/chat")
+            posts = program.prefill_server.named("POST /v1/chat") + program.decode_server.named(
+                "POST /v1/chat"
+            )
             assert {call[1]["x-correlation-id"] for call in posts} == {"r1"}, "nothing more is sent for it"
             assert not await program.faults()
 
--- a/tests/frontends/test_platform_limits.py
+++ b/tests/frontends/test_platform_limits.py
@@ -38,7 +38,7 @@
 def test_bodies_are_rejected_before_they_exceed_the_memory_limit(tmp_path):
     async def test():
         limits = {"memory_mb": 96, "sockets": 1024}
-        async with router_with_endpoints(tmp_path, read=hang, limits=limits) as program:
+        async with router_with_endpoints(tmp_path, prefill=hang, limits=limits) as program:
             body = b'{"a":"' + b"x" * 262000 + b'"}'
             requests = [chat_request(id=f"r{n}", left=3000, body=body) for n in range(120)]
             answers = await asyncio.gather(*map(program.exchange, requests))
--- a/tests/frontends/test_platform_reload.py
+++ b/tests/frontends/test_platform_reload.py
@@ -46,7 +46,7 @@
                 while (await program.wait_for_log("endpoint_list_updated"))["known"] != 2:
                     pass
                 assert (await program.exchange(chat_request()))[0].split()[1] == "200"
-                assert len(other.named("POST /v1/chat")) == 1 and not program.writer.named("POST")
+                assert len(other.named("POST /v1/chat")) == 1 and not program.decode_server.named("POST")
                 await new_discovery.publish([{**listed[0], "status": "Terminating"}])
                 while (await program.wait_for_log("endpoint_list_updated"))["not_ready"] != {
                     "r1": "draining"
--- a/tests/frontends/test_platform_requests.py
+++ b/tests/frontends/test_platform_requests.py
@@ -21,20 +21,20 @@
 
     async def prefill_after_reservation(call, writer):
         if call[0].startswith("POST /v1/chat"):
-            await routers[0].writer.wait_for("POST /v1/holds/r1")
+            await routers[0].decode_server.wait_for("POST /v1/holds/r1")
         await prefill(call, writer)
 
     async def test():
-        async with router_with_endpoints(tmp_path, read=prefill_after_reservation) as program:
+        async with router_with_endpoints(tmp_path, prefill=prefill_after_reservation) as program:
             routers.append(program)
             first, headers, body = await program.exchange(chat_request(body=b'{"stream": true,  "n":1}'))
             assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
-            for server in (program.reader, program.writer):
+            for server in (program.prefill_server, program.decode_server):
                 (call,) = server.named("POST /v1/chat/completions")
                 assert call[2] == b'{"stream": true,  "n":1}' and call[1]["x-correlation-id"] == "r1"
                 assert 0 < int(call[1]["x-time-left-ms"]) <= 4000
-            (_reservation,) = await program.writer.wait_for("POST /v1/holds/r1")
-            assert not program.reader.named("DELETE") and not program.writer.named("DELETE")
+            (_reservation,) = await program.decode_server.wait_for("POST /v1/holds/r1")
+            assert not program.prefill_server.named("DELETE") and not program.decode_server.named("DELETE")
             assert await program.stop() == 0
 
     run(test())
@@ -62,7 +62,9 @@
         async with router_with_endpoints(tmp_path) as program:
             assert (await program.exchange(data))[0].split()[1] == str(status)
             assert (await program.exchange(chat_request(id="good")))[0].split()[1] == "200"
-            assert len(program.reader.named("POST")) == 1, "only the good one reached a prefill endpoint"
+            assert len(program.prefill_server.named("POST")) == 1, (
+                "only the good one reached a prefill endpoint"
+            )
 
     run(test())
 
@@ -72,7 +74,7 @@
         async with router_with_endpoints(tmp_path) as program:
             body = b'{"a":"' + b"x" * (262144 - 8) + b'"}'
             assert (await program.exchange(chat_request(body=body)))[0].split()[1] == "200"
-            assert program.writer.named("POST /v1/chat")[0][2] == body
+            assert program.decode_server.named("POST /v1/chat")[0][2] == body
 
     run(test())
 
@@ -84,7 +86,7 @@
             assert (await program.exchange(chat_request(query=query)))[0].split()[1] == "200"
             absolute = chat_request(id="r2", query=query).replace(b"POST /", b"POST http://service.internal/")
             assert (await program.exchange(absolute))[0].split()[1] == "200"
-            for call in program.writer.named("POST /v1/chat"):
+            for call in program.decode_server.named("POST /v1/chat"):
                 assert call[0].split()[1] == "/v1/chat/completions" + query
             reader, writer = await program.connect()
             head, _, body = chat_request(id="r3").partition(b"\r\n\r\n")
--- a/tests/frontends/test_platform_shutdown.py
+++ b/tests/frontends/test_platform_shutdown.py
@@ -27,13 +27,13 @@
     resume = asyncio.Event()
 
     async def test():
-        async with router_with_endpoints(tmp_path, write=paused_stream(resume)) as program:
+        async with router_with_endpoints(tmp_path, decode=paused_stream(resume)) as program:
             idle_reader, idle_writer = await program.connect()
             idle_writer.write(message("GET /health/ready HTTP/1.1", Host="h"))
             assert (await within(read_message(idle_reader)))[0].split()[1] == "200"
             reader, writer = await program.connect()
             writer.write(chat_request())
-            await program.writer.wait_for("POST /v1/chat")
+            await program.decode_server.wait_for("POST /v1/chat")
             program.process.terminate()
             await program.wait_for_log("stopping")
             late = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
@@ -48,10 +48,10 @@
 
 def test_sighup_never_ends_the_program_even_during_shutdown(tmp_path):
     async def test():
-        async with router_with_endpoints(tmp_path, write=hang) as program:
+        async with router_with_endpoints(tmp_path, decode=hang) as program:
             reader, writer = await program.connect()
             writer.write(chat_request(left=900))
-            await program.writer.wait_for("POST /v1/chat")
+            await program.decode_server.wait_for("POST /v1/chat")
             program.process.terminate()
             await program.wait_for_log("stopping")
             program.reload()
@@ -90,7 +90,7 @@
             idle_writer.close()
             slow_writer.close()
             assert await within(program.process.wait()) == 0
-            ids = [call[1]["x-correlation-id"] for call in program.reader.named("POST /v1/chat")]
+            ids = [call[1]["x-correlation-id"] for call in program.prefill_server.named("POST /v1/chat")]
             assert ids == ["first", "pieces"], "what comes after the end is not accepted"
 
     run(test())
@@ -106,7 +106,7 @@
         writer.write(chunk(EVENT) * 200 + chunk(USAGE + DONE) + b"0\r\n\r\n")
 
     async def test():
-        async with router_with_endpoints(tmp_path, write=stall_mid_stream) as program:
+        async with router_with_endpoints(tmp_path, decode=stall_mid_stream) as program:
             answers, client = await program.connect()
             client.write(chat_request("r1"))
             await within(started.wait())
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -35,21 +35,6 @@
         self.prefill_server = None
         self.decode_server = None
 
-    @property
-    def told(self):
-        """The configuration, by the name that tests still use."""
-        return self.configuration
-
-    @property
-    def reader(self):
-        """The prefill server, by the name that tests still use."""
-        return self.prefill_server
-
-    @property
-    def writer(self):
-        """The decode server, by the name that tests still use."""
-        return self.decode_server
-
     async def wait_for_log(self, event):
         """Wait for an event of the log, and return its line."""
         while True:
@@ -155,9 +140,9 @@
 
 
 @asynccontextmanager
-async def router_with_endpoints(tmp_path, read=prefill, write=decode, **changes):
-    """Start a router with one prefill and one decode server, whose handlers are `read` and `write`."""
-    async with StandInServer(read) as prefill_server, StandInServer(write) as decode_server:
+async def router_with_endpoints(tmp_path, prefill=prefill, decode=decode, **changes):
+    """Start a router with one prefill and one decode server, with their handlers."""
+    async with StandInServer(prefill) as prefill_server, StandInServer(decode) as decode_server:
         entries = [
             registry_entry("r1", prefill_server.address, "prefill"),
             registry_entry("w1", decode_server.address, "decode"),
--- a/tests/support/stand_in_server.py
+++ b/tests/support/stand_in_server.py
@@ -17,15 +17,6 @@
         self.closed = asyncio.Queue()  # the calls whose connection ended before their answer
         self.open = set()  # transports of the connections that are open
 
-    @property
-    def play(self):
-        """The handler, by the name that tests still use."""
-        return self.handler
-
-    @play.setter
-    def play(self, handler):
-        self.handler = handler
-
     async def __aenter__(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
--- a/tests/test_log_without_consumer.py
+++ b/tests/test_log_without_consumer.py
@@ -23,9 +23,9 @@
             draining = [{**each, "status": "Terminating"} for each in program.entries]
             await program.discovery.publish(draining)
             await asyncio.sleep(1)
-            before = len(program.reader.named("POST /v1/chat"))
+            before = len(program.prefill_server.named("POST /v1/chat"))
             assert (await program.exchange(chat_request("late")))[0].split()[1] == "503"
-            assert len(program.reader.named("POST /v1/chat")) == before, "sent to a draining endpoint"
+            assert len(program.prefill_server.named("POST /v1/chat")) == before, "sent to a draining endpoint"
             assert await program.stop() == 0
 
     run(test())
--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -98,7 +98,7 @@
 def test_what_a_bad_client_sends_ends_within_three_seconds_and_reaches_nobody(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
-            await all_end(program, b"/v1/chat/completions", [program.reader, program.writer])
+            await all_end(program, b"/v1/chat/completions", [program.prefill_server, program.decode_server])
             assert (await program.exchange(chat_request(id="good")))[0].split()[1] == "200"
             assert not await program.faults()
 
@@ -123,7 +123,7 @@
                     program, chat_request(id="before") + BAD[name] + chat_request(id="behind")
                 )
                 assert got.count(b" 400 Bad") == 1 and got.count(b" 200 OK") <= 1, (name, got)
-            calls = program.reader.named("POST") + program.writer.named("POST")
+            calls = program.prefill_server.named("POST") + program.decode_server.named("POST")
             assert {call[1].get("x-correlation-id", "before") for call in calls} <= {"before"}
 
     run(test())
@@ -158,12 +158,14 @@
         await decode(call, writer)
 
     async def test():
-        async with router_with_endpoints(tmp_path, write=waits) as program:
+        async with router_with_endpoints(tmp_path, decode=waits) as program:
             first = asyncio.ensure_future(program.exchange(chat_request(id="mine")))
-            await program.writer.wait_for("POST /v1/chat")
+            await program.decode_server.wait_for("POST /v1/chat")
             assert (await program.exchange(chat_request(id="mine")))[0].split()[1] == "409"
             go_on.set()
-            assert (await first)[0].split()[1] == "200" and len(program.writer.named("POST /v1/chat")) == 1
+            assert (await first)[0].split()[1] == "200" and len(
+                program.decode_server.named("POST /v1/chat")
+            ) == 1
 
     run(test())
 
@@ -227,12 +229,12 @@
         folder.mkdir()
         async with (
             StandInServer(decode) as second,
-            router_with_endpoints(folder, write=writes(data)) as program,
+            router_with_endpoints(folder, decode=writes(data)) as program,
         ):
             booked = await program.exchange(chat_request(cls="booking"))
             assert booked[0].split()[1] == "502", (name, booked)
-            assert len(program.writer.named("POST /v1/chat")) == 1, "it may have run"
-            assert await program.writer.closed.get(), "its connection is not used again"
+            assert len(program.decode_server.named("POST /v1/chat")) == 1, "it may have run"
+            assert await program.decode_server.closed.get(), "its connection is not used again"
             await program.discovery.publish(
                 [*program.entries, registry_entry("w2", second.address, "decode")]
             )
@@ -253,7 +255,9 @@
     async def one(folder, name, data):
         folder.mkdir()
         go_on = asyncio.Event()
-        async with router_with_endpoints(folder, write=writes(STREAM + chunk(EVENT), data, go_on)) as program:
+        async with router_with_endpoints(
+            folder, decode=writes(STREAM + chunk(EVENT), data, go_on)
+        ) as program:
             reader, writer = await program.connect()
             writer.write(chat_request())
             got = await reader.readuntil(EVENT)
@@ -262,7 +266,7 @@
             assert not got.endswith(b"0\r\n\r\n"), name
             body = b"".join(line for line in got.split(b"\r\n") if line.startswith(b"data"))
             assert body and not body.replace(EVENT, b""), (name, body[-200:])
-            assert await program.writer.closed.get()
+            assert await program.decode_server.closed.get()
             with open(f"/proc/{program.process.pid}/status") as file:
                 peak = next(int(line.split()[1]) for line in file if line.startswith("VmHWM"))
             assert peak < 64 * 1024, "kilobytes"
@@ -293,7 +297,7 @@
         return None
 
     async def test():
-        async with router_with_endpoints(tmp_path, write=more) as program:
+        async with router_with_endpoints(tmp_path, decode=more) as program:
             for number in range(5):
                 first, _, body = await program.exchange(chat_request(id=f"r{number}"))
                 assert first.split()[1] == "200" and body.startswith(EVENT) and b"yours" not in body
@@ -331,8 +335,8 @@
 
 def test_a_prefill_endpoint_whose_answer_is_malformed_is_not_the_end(tmp_path):
     async def test():
-        async with router_with_endpoints(tmp_path, read=never_prefill) as program:
-            program.reader.play = writes(b"\x80\x81\r\n\r\n")
+        async with router_with_endpoints(tmp_path, prefill=never_prefill) as program:
+            program.prefill_server.handler = writes(b"\x80\x81\r\n\r\n")
             assert (await program.exchange(chat_request(left=2000)))[0].split()[1] == "503"
 
     run(test())
--- a/tests/transport/test_signals.py
+++ b/tests/transport/test_signals.py
@@ -22,7 +22,7 @@
 
 
 def cut_short(program):
-    program.file.write_text(json.dumps(program.told)[:-40])
+    program.file.write_text(json.dumps(program.configuration)[:-40])
 
 
 def not_an_object(program):
@@ -30,8 +30,8 @@
 
 
 def without_classes(program):
-    settings = {**program.told["settings"], "lanes": []}
-    program.file.write_text(json.dumps({**program.told, "settings": settings}))
+    settings = {**program.configuration["settings"], "lanes": []}
+    program.file.write_text(json.dumps({**program.configuration, "settings": settings}))
 
 
 def with_bytes_that_are_not_text(program):
@@ -67,10 +67,10 @@
     go_on = asyncio.Event()
 
     async def test():
-        async with router_with_endpoints(tmp_path, write=paused_stream(go_on)) as program:
+        async with router_with_endpoints(tmp_path, decode=paused_stream(go_on)) as program:
             reader, writer = await program.connect()
             writer.write(chat_request())
-            await program.writer.wait_for("POST /v1/chat")
+            await program.decode_server.wait_for("POST /v1/chat")
             program.process.terminate()
             await program.wait_for_log("stopping")
             program.process.send_signal(then)
--- a/tests/transport/test_stepped_clock.py
+++ b/tests/transport/test_stepped_clock.py
@@ -62,9 +62,9 @@
         plan = {"wall_clock_offset_s": offset}
         async with (
             router_with_endpoints(
-                tmp_path, write=decode_and_release, plan=plan, settings=settings
+                tmp_path, decode=decode_and_release, plan=plan, settings=settings
             ) as program,
-            StandInServer(program.reader.play) as program.new,
+            StandInServer(program.prefill_server.handler) as program.new,
         ):
             entry = registry_entry("new", program.new.address, "prefill")
             await program.discovery.wait_for("GET /registry/instances?since=1")
--- a/tests/transport/test_system_call_faults.py
+++ b/tests/transport/test_system_call_faults.py
@@ -39,8 +39,8 @@
 
     async def test():
         async with router_with_endpoints(tmp_path, plan=failing_calls(call, errors, 4)) as program:
-            for server in (program.reader, program.writer):
-                server.play = functools.partial(answer_and_close, server.play)
+            for server in (program.prefill_server, program.decode_server):
+                server.handler = functools.partial(answer_and_close, server.handler)
             assert await count_served(program, cls) == REQUESTS
             assert await program.stop() == 0
 
@@ -96,7 +96,7 @@
             marker.unlink()
             assert (await within(read_message(reader)))[0].split()[1] == "200"
             writer.close()
-            remaining = int(program.reader.named("POST /v1/chat")[0][1]["x-time-left-ms"])
+            remaining = int(program.prefill_server.named("POST /v1/chat")[0][1]["x-time-left-ms"])
             assert remaining <= 2000 - 600 + 150, "more than the client has left"
             ready = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
             assert ready[0].split()[1] == "200"
--- a/tests/transport/test_time_remaining.py
+++ b/tests/transport/test_time_remaining.py
@@ -162,11 +162,11 @@
 
     async def test():
         async with router_with_endpoints(
-            tmp_path, read=record_and_prefill, write=decode_first_late
+            tmp_path, prefill=record_and_prefill, decode=decode_first_late
         ) as program:
             reader, writer = await program.connect()
             writer.write(chat_request(id="r1", left=4000) + chat_request(id="r2", left=4000))
-            await program.writer.wait_for("POST /v1/chat")
+            await program.decode_server.wait_for("POST /v1/chat")
             delay = 0.4
             await asyncio.sleep(delay)
             go_on.set()
@@ -187,7 +187,7 @@
             await asyncio.sleep(0.5)
             writer.write(data[-3:])
             assert (await within(read_message(reader)))[0].split()[1] == "200"
-            (call,) = program.reader.named("POST /v1/chat")
+            (call,) = program.prefill_server.named("POST /v1/chat")
             assert 3600 < int(call[1]["x-time-left-ms"]) <= 4000
             assert json.loads(call[2])
             writer.close()
