--- a/llm_router/lifecycle/events.py
+++ b/llm_router/lifecycle/events.py
@@ -123,7 +123,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ReleaseDue:
+class ReleaseTimer:
     """Timer: a release of what is held for a request is due, or the next round of its calls."""
 
     request_id: str
@@ -131,7 +131,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ArrivalDue:
+class ArrivalTimer:
     """Timer: a prefill that a decode endpoint did not know of has been answered by now, or is missing."""
 
     request_id: str
@@ -139,7 +139,7 @@
     attempt: int
 
 
-LifecycleTimer = RequestDeadline | AttemptTimeout | ReleaseDue | ArrivalDue
+LifecycleTimer = RequestDeadline | AttemptTimeout | ReleaseTimer | ArrivalTimer
 
 
 @dataclass(slots=True, frozen=True)
--- a/llm_router/lifecycle/releases.py
+++ b/llm_router/lifecycle/releases.py
@@ -72,7 +72,7 @@
         return
     if request.release_timer_at is None or fires_at < request.release_timer_at:
         request.release_timer_at = fires_at
-        yield effects.ScheduleTimer(fires_at, events.ReleaseDue(request.request_id, request.accepted_at))
+        yield effects.ScheduleTimer(fires_at, events.ReleaseTimer(request.request_id, request.accepted_at))
 
 
 def record_release_answer(
--- a/llm_router/lifecycle/request.py
+++ b/llm_router/lifecycle/request.py
@@ -52,7 +52,7 @@
     state: RequestState = RequestState.PENDING
     reservation_endpoint_id: int | None = None  # the decode endpoint of the latest reservation call
     release_call_count: int = 0  # release calls made so far, which numbers the next one
-    release_timer_at: timedelta | None = None  # when the ReleaseDue timer fires that is set
+    release_timer_at: timedelta | None = None  # when the ReleaseTimer timer fires that is set
 
     @property
     def request_id(self) -> str:
--- a/llm_router/lifecycle/reservation_events.py
+++ b/llm_router/lifecycle/reservation_events.py
@@ -57,7 +57,7 @@
     if not attempt.is_running or attempt.arrival.is_settled:
         return
     if attempt.arrival is Arrival.DOUBTED:
-        arrival_timeout = events.ArrivalDue(request.request_id, request.accepted_at, index)
+        arrival_timeout = events.ArrivalTimer(request.request_id, request.accepted_at, index)
         yield effects.ScheduleTimer(now + ARRIVAL_GRACE, arrival_timeout)
         return
     if request.reservation_endpoint_id is None:
--- a/llm_router/lifecycle/timer_events.py
+++ b/llm_router/lifecycle/timer_events.py
@@ -31,9 +31,9 @@
     if request is None or request.accepted_at != timer.accepted_at:
         return
     match timer:
-        case events.ReleaseDue():
+        case events.ReleaseTimer():
             request.release_timer_at = None  # the release itself is made below
-        case events.ArrivalDue():
+        case events.ArrivalTimer():
             yield from mark_attempt_missing(state, now, request, timer.attempt)
         case _ if request.response_started:
             return  # a response that has started may take its time
--- a/llm_router/routing/admission.py
+++ b/llm_router/routing/admission.py
@@ -12,10 +12,10 @@
 from llm_router.routing.load_probes import MAX_PROBES, LoadProbes
 from llm_router.routing.prefill_selection import PrefillSelection
 from llm_router.routing.queueing_delay import QueueingDelays
-from llm_router.routing.request_state import RequestPhase, RequestState
 from llm_router.routing.reservations import MAX_RESERVATIONS, Reservations
 from llm_router.routing.settings import Role
 from llm_router.routing.statistics import RECENT_SPAN, DecayingCounter
+from llm_router.routing.tracked_request import RequestPhase, TrackedRequest
 
 MAX_WAIT_SHARE = 0.8  # of the latency objective: a request that waits longer is rejected
 MAX_WAIT_SHARE_OVER_QUOTA = 0.4  # the same for a tenant above its quota
@@ -49,7 +49,7 @@
         counter = self.arrivals.setdefault(tenant or "", DecayingCounter(RECENT_SPAN))
         counter.add(self.context.now)
 
-    def would_be_late(self, request: RequestState) -> bool:
+    def would_be_late(self, request: TrackedRequest) -> bool:
         """Return whether a request would wait too long, and note when its client should come back.
 
         Retries are judged by the same wait, as nobody says how old they are. Clients are advised to stay away
@@ -59,7 +59,7 @@
         request.retry_after = round(wait - MAX_WAIT_SHARE * objective)
         return wait > self._max_wait_share(request) * objective
 
-    def no_endpoint_in_time(self, request: RequestState) -> bool:
+    def no_endpoint_in_time(self, request: TrackedRequest) -> bool:
         """Return whether no endpoint of a coming phase takes a request before it would be late.
 
         Then all are removed, ejected or overloaded together, and waiting would be in vain."""
@@ -72,7 +72,7 @@
         request.retry_after = available_at - self.context.now
         return available_at > last_useful
 
-    def _first_phase_roles(self, request: RequestState) -> tuple[Role, ...]:
+    def _first_phase_roles(self, request: TrackedRequest) -> tuple[Role, ...]:
         """Return the roles of which one endpoint must be available beside a decode endpoint."""
         if request.phase is RequestPhase.PREFILLED or self.context.settings.append_prefill:
             return tuple(Role)
@@ -94,7 +94,7 @@
             return min([earliest, *(endpoint.available_at(tenant_class) for endpoint in others)])
         return earliest
 
-    def _expected_wait(self, request: RequestState) -> float:
+    def _expected_wait(self, request: TrackedRequest) -> float:
         """Return the expected nanoseconds of waiting: the median delays of the phases, and that for capacity.
 
         Denied reservations count as a wait: work sent without one queues at the decode endpoints and delays
@@ -107,7 +107,7 @@
         all_denied = self.reservations.denied_share() ** MAX_RESERVATIONS
         return wait + all_denied * request.latency_objective
 
-    def _phase_endpoints(self, request: RequestState) -> list[list[EndpointState]]:
+    def _phase_endpoints(self, request: TrackedRequest) -> list[list[EndpointState]]:
         """Return the endpoints by whose delays the wait of each coming phase is estimated."""
         if request.append_endpoint is not None:
             return [[request.append_endpoint]]
@@ -124,7 +124,7 @@
         recent = self.candidates.index.recently_used(role, MAX_CANDIDATES)
         return [endpoint for endpoint in recent if self.candidates.accepts(endpoint, NO_TENANT_CLASS)]
 
-    def _reported_endpoints(self, request: RequestState) -> list[EndpointState]:
+    def _reported_endpoints(self, request: TrackedRequest) -> list[EndpointState]:
         """Return the endpoints whose load reports say how long a request would wait for its prefill.
 
         That is the one that it would go to. While others may still be probed there is none; once all that
@@ -134,12 +134,12 @@
             return [first]
         return request.probed_endpoints if len(request.probed_endpoints) >= MAX_PROBES else []
 
-    def _max_wait_share(self, request: RequestState) -> float:
+    def _max_wait_share(self, request: TrackedRequest) -> float:
         """Return the share of the latency objective that a request may wait."""
         share = MAX_WAIT_SHARE_OVER_QUOTA if self._is_over_quota(request) else MAX_WAIT_SHARE
         return share * RETRY_FACTOR if request.received.is_retry else share
 
-    def _is_over_quota(self, request: RequestState) -> bool:
+    def _is_over_quota(self, request: TrackedRequest) -> bool:
         """Return whether a tenant is above its quota, if all instances receive as much of it as this one."""
         tenant = request.received.tenant or ""
         quota = self._quotas.get(tenant)
--- a/llm_router/routing/append_prefill.py
+++ b/llm_router/routing/append_prefill.py
@@ -12,8 +12,8 @@
 from llm_router.routing.endpoint_state import EndpointState
 from llm_router.routing.events import AttemptEnded
 from llm_router.routing.prefill_estimates import PrefillEstimates
-from llm_router.routing.request_state import RequestState, WorkloadCell
 from llm_router.routing.statistics import MovingAverage
+from llm_router.routing.tracked_request import TrackedRequest, WorkloadCell
 
 FIRST_TOKEN_WEIGHT = 1.0  # of the score's two halves, without unit: the paper weighs both alike
 TOKEN_INTERVAL_WEIGHT = 1.0
@@ -55,7 +55,7 @@
         self.averages: dict[PathKey, PathAverages] = {}
         self._streams = MovingAverage()  # ours at a decode endpoint
 
-    def choose_endpoint(self, request: RequestState) -> EndpointState | None:
+    def choose_endpoint(self, request: TrackedRequest) -> EndpointState | None:
         """Return the decode endpoint that shall prefill a later turn, None for the usual path."""
         endpoint = self._last_decode_endpoint(request)
         if endpoint is None or self._is_busy(request, endpoint):
@@ -67,11 +67,11 @@
         explores = self.context.random.random() < EXPLORATION_SHARE
         return None if explores else endpoint
 
-    def record_first_token(self, request: RequestState, elapsed: int) -> None:
+    def record_first_token(self, request: TrackedRequest, elapsed: int) -> None:
         """Record how many nanoseconds after its arrival a request had its first token."""
         self._path_averages(request).first_token.add(elapsed)
 
-    def record_answer(self, request: RequestState, endpoint: EndpointState, event: AttemptEnded) -> None:
+    def record_answer(self, request: TrackedRequest, endpoint: EndpointState, event: AttemptEnded) -> None:
         """Record a finished answer: its token interval, and whether the endpoint still had its cache.
 
         If little of the prefix was cached at an append-prefill (flush, restart, no memory), the endpoint's
@@ -83,7 +83,7 @@
         if is_append_prefill and 2 * event.cached_tokens < request.received.prefix_tokens:
             endpoint.cache_valid_since = request.arrived_at
 
-    def _last_decode_endpoint(self, request: RequestState) -> EndpointState | None:
+    def _last_decode_endpoint(self, request: TrackedRequest) -> EndpointState | None:
         """Return the endpoint that decoded the session's last answer, if it is usable and has its cache."""
         affinity = request.affinity
         if affinity is None:
@@ -93,12 +93,12 @@
             return None
         return endpoint if affinity.updated_at >= endpoint.cache_valid_since else None
 
-    def _is_busy(self, request: RequestState, endpoint: EndpointState) -> bool:
+    def _is_busy(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
         peers = self.candidates.usable(DECODE_ROLES, request.tenant_class) or [endpoint]
         usual = median(peer.streams for peer in peers)
         return endpoint.streams > MAX_STREAMS_FACTOR * max(1, usual)
 
-    def _is_better(self, request: RequestState) -> bool:
+    def _is_better(self, request: TrackedRequest) -> bool:
         """Return whether append-prefill scores above the usual path in the request's workload cell."""
         cell = self._workload(request)
         append = self.averages.get(PathKey(cell, append_prefill=True), PathAverages())
@@ -109,11 +109,11 @@
         token_interval_gain = _relative_gain(append.token_interval, usual.token_interval)
         return FIRST_TOKEN_WEIGHT * first_token_gain + TOKEN_INTERVAL_WEIGHT * token_interval_gain > 0
 
-    def _path_averages(self, request: RequestState) -> PathAverages:
+    def _path_averages(self, request: TrackedRequest) -> PathAverages:
         key = PathKey(self._workload(request), request.append_endpoint is not None)
         return self.averages.setdefault(key, PathAverages())
 
-    def _workload(self, request: RequestState) -> WorkloadCell:
+    def _workload(self, request: TrackedRequest) -> WorkloadCell:
         """Return the workload cell of a request, which is that of the moment it is first needed."""
         if request.workload is None:
             endpoints = self.candidates.candidates(DECODE_ROLES)
--- a/llm_router/routing/attempt_dispatch.py
+++ b/llm_router/routing/attempt_dispatch.py
@@ -9,12 +9,12 @@
 from llm_router.routing.endpoint_state import EndpointState
 from llm_router.routing.events import EndpointStatus
 from llm_router.routing.prefill_estimates import PrefillEstimates
-from llm_router.routing.request_state import Attempt, RequestState
 from llm_router.routing.reservations import Reservations
 from llm_router.routing.retry_policy import RetryPolicy
 from llm_router.routing.send_rates import SendRates
 from llm_router.routing.settings import Role
 from llm_router.routing.slow_start import SlowStart
+from llm_router.routing.tracked_request import Attempt, TrackedRequest
 
 
 class AttemptDispatcher:
@@ -36,17 +36,17 @@
         self.send_rates = send_rates
         self.reservations = reservations
 
-    def send_prefill(self, request: RequestState, endpoints: Iterable[EndpointState]) -> bool:
+    def send_prefill(self, request: TrackedRequest, endpoints: Iterable[EndpointState]) -> bool:
         """Send to the first allowed endpoint, for prefill if it is not mixed; return whether one was."""
         return any(
             self._send(request, endpoint, is_prefill=endpoint.role is Role.PREFILL) for endpoint in endpoints
         )
 
-    def send_decode(self, request: RequestState, endpoints: Iterable[EndpointState]) -> bool:
+    def send_decode(self, request: TrackedRequest, endpoints: Iterable[EndpointState]) -> bool:
         """Send to the first allowed endpoint, for decoding; return whether one was."""
         return any(self._send(request, endpoint, is_prefill=False) for endpoint in endpoints)
 
-    def _send(self, request: RequestState, endpoint: EndpointState, *, is_prefill: bool) -> bool:
+    def _send(self, request: TrackedRequest, endpoint: EndpointState, *, is_prefill: bool) -> bool:
         """Send, unless draining, the retry policy or slow start forbid it."""
         if not self._is_allowed(request, endpoint, is_prefill):
             return False
@@ -60,7 +60,7 @@
             self.reservations.request_next(request)
         return True
 
-    def _is_allowed(self, request: RequestState, endpoint: EndpointState, is_prefill: bool) -> bool:
+    def _is_allowed(self, request: TrackedRequest, endpoint: EndpointState, is_prefill: bool) -> bool:
         if endpoint.entry.status is not EndpointStatus.READY:
             return False
         if not self.retry_policy.may_send_to(request, endpoint):
@@ -69,7 +69,7 @@
             return True
         return self.slow_start.admit(endpoint, is_prefill=is_prefill)
 
-    def _open_attempt(self, request: RequestState, endpoint: EndpointState, is_prefill: bool) -> None:
+    def _open_attempt(self, request: TrackedRequest, endpoint: EndpointState, is_prefill: bool) -> None:
         uncached_tokens = 0
         if request.state_endpoint is None:
             uncached_tokens = self.estimates.uncached_tokens(request, endpoint)
--- a/llm_router/routing/attempt_results.py
+++ b/llm_router/routing/attempt_results.py
@@ -9,8 +9,8 @@
 from llm_router.routing.prefill_results import PrefillResults
 from llm_router.routing.queueing_delay import QueueingDelays
 from llm_router.routing.request_completion import RequestCompletion
-from llm_router.routing.request_state import Attempt
 from llm_router.routing.retry_policy import MAY_HAVE_RUN
+from llm_router.routing.tracked_request import Attempt
 
 FAILED = (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET, AttemptStatus.ERROR)
 GIVEN_UP = (AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT)
--- a/llm_router/routing/cancellation.py
+++ b/llm_router/routing/cancellation.py
@@ -6,7 +6,7 @@
 
 from llm_router.routing.actions import CancelAttempt
 from llm_router.routing.context import PolicyContext
-from llm_router.routing.request_state import Attempt
+from llm_router.routing.tracked_request import Attempt
 
 
 def cancel_attempts(context: PolicyContext, attempts: Iterable[Attempt]) -> None:
--- a/llm_router/routing/decode_results.py
+++ b/llm_router/routing/decode_results.py
@@ -8,9 +8,9 @@
 from llm_router.routing.events import AttemptEnded
 from llm_router.routing.failure_detection import FailureDetector
 from llm_router.routing.queueing_delay import QueueingDelays
-from llm_router.routing.request_state import Attempt, RequestState
 from llm_router.routing.session_affinity import SessionAffinityTable
 from llm_router.routing.silence_detection import SilenceDetector
+from llm_router.routing.tracked_request import Attempt, TrackedRequest
 
 
 class DecodeResults:
@@ -45,7 +45,7 @@
         self.failures.record_first_token(attempt, elapsed)
         self.append_prefill.record_first_token(request, self.context.now - request.arrived_at)
 
-    def record_answer(self, request: RequestState, endpoint: EndpointState, event: AttemptEnded) -> None:
+    def record_answer(self, request: TrackedRequest, endpoint: EndpointState, event: AttemptEnded) -> None:
         """Record a finished answer."""
         self.append_prefill.record_answer(request, endpoint, event)
         self.affinities.record_answer(request, endpoint, self.context.now)
--- a/llm_router/routing/decode_selection.py
+++ b/llm_router/routing/decode_selection.py
@@ -8,7 +8,7 @@
 from llm_router.routing.endpoint_state import EndpointState
 from llm_router.routing.events import EndpointStatus
 from llm_router.routing.queueing_delay import QueueingDelays
-from llm_router.routing.request_state import RequestState
+from llm_router.routing.tracked_request import TrackedRequest
 
 # Costs in units of an endpoint's full memory, which is also that of a wait as long as the latency objective:
 OTHER_CELL_COST = 0.8  # a transfer to another cell of the zone
@@ -24,7 +24,7 @@
         self.candidates = candidates
         self.delays = delays
 
-    def ordered(self, request: RequestState) -> list[EndpointState]:
+    def ordered(self, request: TrackedRequest) -> list[EndpointState]:
         """Return the usable decode endpoints, best first.
 
         A reservation comes first; those where an attempt failed, then those asked for a reservation, come
@@ -42,7 +42,7 @@
         }
         return sorted(order, key=order.__getitem__)
 
-    def considered(self, request: RequestState) -> list[EndpointState]:
+    def considered(self, request: TrackedRequest) -> list[EndpointState]:
         """Return the usable decode endpoints that are compared.
 
         In a large fleet some of the prefill endpoint's cell and the reservation are added."""
@@ -58,7 +58,7 @@
             found.append(reserved)
         return list(dict.fromkeys(found))
 
-    def cost(self, request: RequestState, endpoint: EndpointState) -> float:
+    def cost(self, request: TrackedRequest, endpoint: EndpointState) -> float:
         """Return the cost of an endpoint: our share of its memory, its queueing delay and the transfer."""
         if endpoint.memory_tokens:
             cost = endpoint.committed_tokens / endpoint.memory_tokens
--- a/llm_router/routing/endpoint_index.py
+++ b/llm_router/routing/endpoint_index.py
@@ -18,8 +18,8 @@
     ReservationResult,
 )
 from llm_router.routing.indexed_set import IndexedSet
-from llm_router.routing.request_state import Attempt
 from llm_router.routing.settings import KindSettings, Role
+from llm_router.routing.tracked_request import Attempt
 
 PREFILL_ROLES = (Role.PREFILL, Role.MIXED)
 DECODE_ROLES = (Role.DECODE, Role.MIXED)
--- a/llm_router/routing/endpoint_state.py
+++ b/llm_router/routing/endpoint_state.py
@@ -9,7 +9,7 @@
 from llm_router.routing.settings import Role
 
 if TYPE_CHECKING:
-    from llm_router.routing.request_state import Attempt
+    from llm_router.routing.tracked_request import Attempt
 
 
 class TenantClass(NamedTuple):
--- a/llm_router/routing/failure_detection.py
+++ b/llm_router/routing/failure_detection.py
@@ -8,9 +8,9 @@
 from llm_router.routing.events import AttemptEnded, AttemptStatus, ConnectionFault
 from llm_router.routing.gossip import Gossip
 from llm_router.routing.gossip_codec import Symptom
-from llm_router.routing.request_state import Attempt, RequestState
 from llm_router.routing.settings import Role
 from llm_router.routing.statistics import MovingAverage
+from llm_router.routing.tracked_request import Attempt, TrackedRequest
 
 MAX_CONSECUTIVE_FAILURES = 2  # that make an endpoint down; a lone reset is common
 QUICK_FAILURE = 100 * MILLISECOND  # nanoseconds: a connection that fails after longer makes it down alone
@@ -49,7 +49,7 @@
         if was_slow or endpoint.consecutive_errors >= MAX_CONSECUTIVE_FAILURES:
             self.gossip.report(Symptom.DOWN, endpoint)
 
-    def record_overload(self, endpoint: EndpointState, request: RequestState) -> None:
+    def record_overload(self, endpoint: EndpointState, request: TrackedRequest) -> None:
         """Record that an endpoint has rejected a request as overloaded."""
         self.gossip.report(Symptom.OVERLOADED, endpoint, request.tenant_class)
 
--- a/llm_router/routing/load_probes.py
+++ b/llm_router/routing/load_probes.py
@@ -8,7 +8,7 @@
 from llm_router.routing.endpoint_index import EndpointIndex
 from llm_router.routing.endpoint_state import EndpointState
 from llm_router.routing.events import AttemptStatus, LoadProbeEnded
-from llm_router.routing.request_state import RequestState
+from llm_router.routing.tracked_request import TrackedRequest
 
 MAX_PROBES = 3  # endpoints probed for one request: each costs a round trip before the prefill
 PROBE_TIMEOUT = 60 * MILLISECOND  # nanoseconds that a request waits for one report
@@ -30,7 +30,7 @@
         reported_at = endpoint.load_report_at
         return reported_at is not None and self.context.now < reported_at + REPORT_LIFETIME
 
-    def probe(self, request: RequestState, endpoint: EndpointState) -> bool:
+    def probe(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
         """Probe the endpoint that a request would go to; return whether the request waits for a report."""
         if not self.context.settings.load_probes or self.has_report(endpoint):
             return False
@@ -56,6 +56,6 @@
             endpoint.load_report_at = self.context.now
             self.index.mark_used(endpoint)
 
-    def is_waiting(self, request: RequestState, endpoint: EndpointState) -> bool:
+    def is_waiting(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
         """Return whether a request waits for the report of an endpoint."""
         return endpoint in request.probed_endpoints and self.context.now < request.probe_deadline
--- a/llm_router/routing/periodic_check.py
+++ b/llm_router/routing/periodic_check.py
@@ -5,9 +5,9 @@
 from llm_router.routing.context import PolicyContext
 from llm_router.routing.prefix_popularity import PrefixPopularity
 from llm_router.routing.request_progress import CHECK_INTERVAL, RequestProgress
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.session_affinity import SessionAffinityTable
 from llm_router.routing.silence_detection import SilenceDetector
+from llm_router.routing.tracked_request import TrackedRequest
 
 
 class PeriodicCheck:
@@ -16,7 +16,7 @@
     def __init__(
         self,
         context: PolicyContext,
-        requests: dict[str, RequestState],
+        requests: dict[str, TrackedRequest],
         silence: SilenceDetector,
         affinities: SessionAffinityTable,
         popularity: PrefixPopularity,
--- a/llm_router/routing/policy.py
+++ b/llm_router/routing/policy.py
@@ -34,7 +34,6 @@
 from llm_router.routing.request_completion import RequestCompletion
 from llm_router.routing.request_path import RequestPath
 from llm_router.routing.request_progress import RequestProgress
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.reservations import Reservations
 from llm_router.routing.retry_policy import RetryPolicy
 from llm_router.routing.send_rates import SendRates
@@ -42,8 +41,9 @@
 from llm_router.routing.settings import Settings
 from llm_router.routing.silence_detection import SilenceDetector
 from llm_router.routing.slow_start import SlowStart
+from llm_router.routing.tracked_request import TrackedRequest
 
-Handler = Callable[[Any], RequestState | None]  # takes its event; the request that it returns is advanced
+Handler = Callable[[Any], TrackedRequest | None]  # takes its event; the request that it returns is advanced
 
 
 class RoutingPolicy:
@@ -54,7 +54,7 @@
         self.settings = settings
         self.context = PolicyContext(settings, seed)
         self.classes = {request_class.name: request_class for request_class in settings.classes}
-        self.requests: dict[str, RequestState] = {}
+        self.requests: dict[str, TrackedRequest] = {}
         self.endpoints = EndpointIndex(settings.kinds)
         self.affinities = SessionAffinityTable()
         self._build_estimates()
@@ -188,13 +188,13 @@
         self.prefill_ring.update(changed)
         self.candidates.update(changed)
 
-    def _on_request(self, event: events.RequestReceived) -> RequestState | None:
+    def _on_request(self, event: events.RequestReceived) -> TrackedRequest | None:
         request_class = self.classes.get(event.class_name)
         if request_class is None or event.request_id in self.requests:
             return None
         now = self.context.now
         affinity = self.affinities.find(event)
-        request = RequestState(event, request_class, now, now + event.time_remaining, affinity)
+        request = TrackedRequest(event, request_class, now, now + event.time_remaining, affinity)
         self.requests[event.request_id] = request
         self.estimates.prompt_tokens.add(event.prompt_tokens)
         self.admission.record_arrival(event.tenant)
@@ -206,7 +206,7 @@
         request.append_endpoint = self.append_prefill.choose_endpoint(request)
         return request
 
-    def _on_deadline(self, request: RequestState) -> RequestState:
+    def _on_deadline(self, request: TrackedRequest) -> TrackedRequest:
         if not request.has_answer:
             self.completion.finish(request, AnswerReason.DEADLINE_EXCEEDED)
         return request
@@ -221,14 +221,14 @@
         if attempt is not None:
             self.reservations.record_result(attempt.request, granted=event.reserved)
 
-    def _on_attempt_ended(self, event: events.AttemptEnded) -> RequestState | None:
+    def _on_attempt_ended(self, event: events.AttemptEnded) -> TrackedRequest | None:
         attempt = self.endpoints.open_attempt(event)
         if attempt is None:
             return None
         self.attempt_results.record(attempt, event)
         return attempt.request
 
-    def _on_disconnect(self, event: events.ClientDisconnected) -> RequestState | None:
+    def _on_disconnect(self, event: events.ClientDisconnected) -> TrackedRequest | None:
         request = self.requests.get(event.request_id)
         if request is not None:
             self.completion.close(request)
@@ -246,5 +246,5 @@
         for request in [each for each in requests if self.load_probes.is_waiting(each, endpoint)]:
             self.progress.advance(request)
 
-    def _on_timer(self, event: events.TimerFired) -> RequestState | None:
+    def _on_timer(self, event: events.TimerFired) -> TrackedRequest | None:
         return self.context.timers.fire(event.timer_id)
--- a/llm_router/routing/prefill_estimates.py
+++ b/llm_router/routing/prefill_estimates.py
@@ -4,9 +4,9 @@
 
 from llm_router.routing.duration import SECOND
 from llm_router.routing.endpoint_state import CachedPrefix, EndpointState
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.session_affinity import IDLE_TIMEOUT
 from llm_router.routing.statistics import MovingAverage, drop_older_than
+from llm_router.routing.tracked_request import TrackedRequest
 
 SPEED_RETENTION = 0.98  # of the best prefill speed that is left with each prefill, so that it can sink
 
@@ -29,7 +29,7 @@
             return 0
         return round(tokens * SECOND / self.tokens_per_second)
 
-    def uncached_tokens(self, request: RequestState, endpoint: EndpointState) -> int:
+    def uncached_tokens(self, request: TrackedRequest, endpoint: EndpointState) -> int:
         """Return how many tokens of a prompt an endpoint probably has to prefill."""
         received = request.received
         cached = received.prefix_tokens if (received.prefix or "") in endpoint.cached_prefixes else 0
@@ -43,7 +43,7 @@
         speed = tokens * SECOND / max(1, elapsed)
         self.tokens_per_second = max(speed, self.tokens_per_second * SPEED_RETENTION)
 
-    def record_cached_prefix(self, request: RequestState, endpoint: EndpointState, now: int) -> None:
+    def record_cached_prefix(self, request: TrackedRequest, endpoint: EndpointState, now: int) -> None:
         """Note that an endpoint has a request's prefix in its cache."""
         prefix = request.received.prefix or ""
         endpoint.cached_prefixes.pop(prefix, None)
--- a/llm_router/routing/prefill_overflow.py
+++ b/llm_router/routing/prefill_overflow.py
@@ -9,9 +9,9 @@
 from llm_router.routing.prefill_estimates import PrefillEstimates
 from llm_router.routing.prefill_selection import QUEUE_SHARE
 from llm_router.routing.queueing_delay import QueueingDelays
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.reservations import Reservations
 from llm_router.routing.settings import Role
+from llm_router.routing.tracked_request import TrackedRequest
 
 MAX_DENIED_SHARE = 0.75  # of recent reservation requests, past which no decode endpoint is idle
 # Multiples of the mean prompt length up to which an endpoint of a role prefills: a long prefill delays the
@@ -38,7 +38,7 @@
         self.estimates = estimates
         self.reservations = reservations
 
-    def endpoints(self, request: RequestState) -> list[EndpointState]:
+    def endpoints(self, request: TrackedRequest) -> list[EndpointState]:
         """Return the endpoints that may prefill and decode a request, best first.
 
         None of our requests waits at them, and reservations are granted."""
--- a/llm_router/routing/prefill_results.py
+++ b/llm_router/routing/prefill_results.py
@@ -7,8 +7,8 @@
 from llm_router.routing.events import AttemptEnded
 from llm_router.routing.prefill_estimates import PrefillEstimates
 from llm_router.routing.queueing_delay import QueueingDelays
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.silence_detection import SilenceDetector
+from llm_router.routing.tracked_request import TrackedRequest
 
 
 class PrefillResults:
@@ -26,7 +26,7 @@
         self.estimates = estimates
         self.delays = delays
 
-    def record(self, request: RequestState, endpoint: EndpointState, event: AttemptEnded) -> None:
+    def record(self, request: TrackedRequest, endpoint: EndpointState, event: AttemptEnded) -> None:
         """Record a finished prefill."""
         request.state_endpoint = endpoint
         request.state_since = self.context.now
--- a/llm_router/routing/prefill_selection.py
+++ b/llm_router/routing/prefill_selection.py
@@ -15,7 +15,7 @@
 from llm_router.routing.prefill_estimates import PrefillEstimates
 from llm_router.routing.prefix_popularity import PrefixPopularity
 from llm_router.routing.queueing_delay import QueueingDelays
-from llm_router.routing.request_state import RequestState
+from llm_router.routing.tracked_request import TrackedRequest
 
 QUEUE_SHARE = 0.25  # of the latency objective that may wait at an endpoint, our instance's share of it
 REPLICAS_PER_SHARE = 4.0  # endpoints of a prefix for each endpoint's share of the requests that it has
@@ -48,7 +48,7 @@
         self.estimates = estimates
         self.popularity = popularity
 
-    def ordered(self, request: RequestState) -> Iterator[EndpointState]:
+    def ordered(self, request: TrackedRequest) -> Iterator[EndpointState]:
         """Yield the usable prefill endpoints, best first, worked out as far as they are asked for.
 
         They come in ring order from the prefix, those past their load bound after the others by earliest
@@ -70,11 +70,11 @@
         yield from failed_below_bound
         yield from (endpoint for endpoint in loaded if endpoint in failed)
 
-    def first(self, request: RequestState) -> EndpointState | None:
+    def first(self, request: TrackedRequest) -> EndpointState | None:
         """Return the best prefill endpoint, None if there is no usable one."""
         return next(self.ordered(request), None)
 
-    def _load_bound(self, request: RequestState) -> LoadBound:
+    def _load_bound(self, request: TrackedRequest) -> LoadBound:
         max_delay = QUEUE_SHARE * request.request_class.latency_objective
         router_count = self.context.settings.router_count
         own_share = max_delay / SECOND * self.estimates.tokens_per_second / router_count
@@ -86,11 +86,11 @@
             return True
         return self.delays.delay(endpoint) > bound.max_delay
 
-    def _expected_end(self, request: RequestState, endpoint: EndpointState) -> int:
+    def _expected_end(self, request: TrackedRequest, endpoint: EndpointState) -> int:
         tokens = endpoint.waiting_tokens + self.estimates.uncached_tokens(request, endpoint)
         return self.delays.delay(endpoint) + self.estimates.duration(tokens)
 
-    def _ring_order(self, request: RequestState) -> list[EndpointState]:
+    def _ring_order(self, request: TrackedRequest) -> list[EndpointState]:
         """Return the usable endpoints in ring order from the prefix, else the session.
 
         A session goes back first to the endpoint that prefilled it, which has most of it in its cache."""
@@ -105,7 +105,7 @@
             return ring
         return [last, *(endpoint for endpoint in ring if endpoint is not last)]
 
-    def _order_of_all(self, request: RequestState) -> list[EndpointState]:
+    def _order_of_all(self, request: TrackedRequest) -> list[EndpointState]:
         tenant_class = request.tenant_class
         walk = self.ring.walk(_ring_key(request))
         ring = [endpoint for endpoint in walk if self.candidates.accepts(endpoint, tenant_class)]
@@ -114,7 +114,7 @@
         first = self._replica(request, request.received.prefix, len(ring))
         return ring[first:] + ring[:first]
 
-    def _order_of_some(self, request: RequestState) -> list[EndpointState]:
+    def _order_of_some(self, request: TrackedRequest) -> list[EndpointState]:
         tenant_class = request.tenant_class
         key = _ring_key(request)
         first = 0
@@ -128,7 +128,7 @@
         usable = (endpoint for endpoint in walk if self.candidates.accepts(endpoint, tenant_class))
         return list(islice(usable, start, start + MAX_CANDIDATES))
 
-    def _replica(self, request: RequestState, prefix: str, endpoint_count: int) -> int:
+    def _replica(self, request: TrackedRequest, prefix: str, endpoint_count: int) -> int:
         """Return which replica of its prefix a request goes to first; a popular prefix has more replicas."""
         share = self.popularity.share(prefix)
         replicas = 1 + int(REPLICAS_PER_SHARE * share * endpoint_count)
@@ -138,5 +138,5 @@
         return max(range(replicas), key=lambda replica: stable_hash(f"{key} {replica}"))
 
 
-def _ring_key(request: RequestState) -> str:
+def _ring_key(request: TrackedRequest) -> str:
     return request.received.prefix or request.received.session or ""
--- a/llm_router/routing/request_completion.py
+++ b/llm_router/routing/request_completion.py
@@ -5,8 +5,8 @@
 from llm_router.routing.actions import AnswerReason, FailRequest, RejectRequest, Release
 from llm_router.routing.cancellation import cancel_attempts
 from llm_router.routing.context import PolicyContext
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.retry_policy import RetryPolicy
+from llm_router.routing.tracked_request import TrackedRequest
 
 
 class RequestCompletion:
@@ -16,7 +16,7 @@
         self.context = context
         self.retry_policy = retry_policy
 
-    def finish(self, request: RequestState, reason: AnswerReason) -> None:
+    def finish(self, request: TrackedRequest, reason: AnswerReason) -> None:
         """Give the final answer: rejected where a retry is harmless, else failed."""
         if self.retry_policy.may_reject(request):
             retry_after = self._retry_after(request)
@@ -25,12 +25,12 @@
             self.context.emit(FailRequest(request.request_id, reason))
         self.close(request)
 
-    def close(self, request: RequestState) -> None:
+    def close(self, request: TrackedRequest) -> None:
         """End a request that has its final answer or whose client has disconnected."""
         request.ended = True
         cancel_attempts(self.context, request.open_attempts)
 
-    def release(self, request: RequestState) -> None:
+    def release(self, request: TrackedRequest) -> None:
         """Release the KV state and reservations that endpoints may hold for a request."""
         if any(attempt.is_prefill for attempt in request.attempts):
             self.context.emit(Release(request.request_id))
@@ -38,7 +38,7 @@
         request.reserved_endpoint = None
         request.reservation_targets.clear()
 
-    def _retry_after(self, request: RequestState) -> int:
+    def _retry_after(self, request: TrackedRequest) -> int:
         """Return the nanoseconds that the client should wait before a retry, 0 for no advice."""
         settings = self.context.settings
         if not settings.retry_after:
--- a/llm_router/routing/request_path.py
+++ b/llm_router/routing/request_path.py
@@ -7,7 +7,7 @@
 from llm_router.routing.load_probes import LoadProbes
 from llm_router.routing.prefill_overflow import PrefillOverflow
 from llm_router.routing.prefill_selection import PrefillSelection
-from llm_router.routing.request_state import RequestPhase, RequestState
+from llm_router.routing.tracked_request import RequestPhase, TrackedRequest
 
 
 class RequestPath:
@@ -27,7 +27,7 @@
         self.prefill_overflow = prefill_overflow
         self.load_probes = load_probes
 
-    def send_next(self, request: RequestState) -> None:
+    def send_next(self, request: TrackedRequest) -> None:
         """Send a request to its next phase, if an endpoint takes it now and no load report is waited for."""
         if request.phase is RequestPhase.PREFILLED:
             self.dispatcher.send_decode(request, self.decode_selection.ordered(request))
@@ -42,6 +42,6 @@
         if not self.dispatcher.send_prefill(request, self.prefill_selection.ordered(request)):
             self.send_overflow(request)
 
-    def send_overflow(self, request: RequestState) -> bool:
+    def send_overflow(self, request: TrackedRequest) -> bool:
         """Send a request to a decode endpoint that prefills it; return whether there was one."""
         return self.dispatcher.send_decode(request, self.prefill_overflow.endpoints(request))
--- a/llm_router/routing/request_progress.py
+++ b/llm_router/routing/request_progress.py
@@ -8,8 +8,8 @@
 from llm_router.routing.duration import MILLISECOND, SECOND
 from llm_router.routing.request_completion import RequestCompletion
 from llm_router.routing.request_path import RequestPath
-from llm_router.routing.request_state import RequestPhase, RequestState
 from llm_router.routing.retry_policy import RetryPolicy
+from llm_router.routing.tracked_request import RequestPhase, TrackedRequest
 
 CHECK_INTERVAL = 50 * MILLISECOND  # nanoseconds between two tries of a request that waits
 DEFAULT_RELEASE_TIMEOUT = 120 * SECOND  # nanoseconds, where the settings demand no release
@@ -21,7 +21,7 @@
     def __init__(
         self,
         context: PolicyContext,
-        requests: dict[str, RequestState],
+        requests: dict[str, TrackedRequest],
         retry_policy: RetryPolicy,
         admission: Admission,
         path: RequestPath,
@@ -34,7 +34,7 @@
         self.path = path
         self.completion = completion
 
-    def advance(self, request: RequestState) -> None:
+    def advance(self, request: TrackedRequest) -> None:
         """Advance a request that has no attempt out; forget it once it has ended."""
         if request.open_attempts or self.requests.get(request.request_id) is not request:
             return
@@ -44,7 +44,7 @@
             self.completion.release(request)
             del self.requests[request.request_id]
 
-    def _take_next_step(self, request: RequestState) -> None:
+    def _take_next_step(self, request: TrackedRequest) -> None:
         """Send the request on, leave it to wait, release its KV state, or end it."""
         reason = self._rejection_reason(request)
         is_prefilled = request.phase is RequestPhase.PREFILLED
@@ -58,7 +58,7 @@
         else:
             self.path.send_next(request)
 
-    def _rejection_reason(self, request: RequestState) -> AnswerReason | None:
+    def _rejection_reason(self, request: TrackedRequest) -> AnswerReason | None:
         """Return why a request can get no attempt in time, None if it may get one."""
         if self.context.now >= request.deadline - self.context.settings.timer_resolution:
             return AnswerReason.DEADLINE_EXCEEDED
@@ -68,7 +68,7 @@
             return AnswerReason.NO_ENDPOINT_IN_TIME
         return None
 
-    def _release_time(self, request: RequestState) -> int:
+    def _release_time(self, request: TrackedRequest) -> int:
         """Return until when the KV state of a prefill waits for a decode endpoint.
 
         It ends two checks before the release timeout, as a check comes late by up to one."""
--- a/llm_router/routing/reservations.py
+++ b/llm_router/routing/reservations.py
@@ -5,9 +5,9 @@
 from llm_router.routing.actions import Reserve
 from llm_router.routing.context import PolicyContext
 from llm_router.routing.decode_selection import DecodeSelection
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.slow_start import SlowStart
 from llm_router.routing.statistics import RECENT_SPAN, DecayingCounter
+from llm_router.routing.tracked_request import TrackedRequest
 
 MAX_RESERVATIONS = 4  # decode endpoints asked during one prefill, one after another
 
@@ -27,7 +27,7 @@
         self._granted = DecayingCounter(RECENT_SPAN)
         self._denied = DecayingCounter(RECENT_SPAN)
 
-    def request_next(self, request: RequestState) -> None:
+    def request_next(self, request: TrackedRequest) -> None:
         """Ask the best decode endpoint that was not asked, if the settings allow reservations."""
         targets = request.reservation_targets
         if not self.context.settings.reservations or len(targets) >= MAX_RESERVATIONS:
@@ -38,7 +38,7 @@
                 self.context.emit(Reserve(request.request_id, endpoint.endpoint_id))
                 return
 
-    def record_result(self, request: RequestState, *, granted: bool) -> None:
+    def record_result(self, request: TrackedRequest, *, granted: bool) -> None:
         """Record the answer of the endpoint asked last; where it is a denial, ask the next."""
         if not request.reservation_targets:
             return
--- a/llm_router/routing/retry_policy.py
+++ b/llm_router/routing/retry_policy.py
@@ -5,8 +5,8 @@
 from llm_router.routing.context import PolicyContext
 from llm_router.routing.endpoint_state import EndpointState
 from llm_router.routing.events import AttemptStatus, EndpointEntry
-from llm_router.routing.request_state import RequestState
 from llm_router.routing.settings import DeduplicationScope, Idempotency
+from llm_router.routing.tracked_request import TrackedRequest
 
 MAY_HAVE_RUN = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
 
@@ -17,7 +17,7 @@
     def __init__(self, context: PolicyContext) -> None:
         self.context = context
 
-    def may_send(self, request: RequestState) -> bool:
+    def may_send(self, request: TrackedRequest) -> bool:
         """Return whether another attempt is allowed, at some endpoint at least."""
         if request.ended or self._attempts_exhausted(request) or not self._may_hedge(request):
             return False
@@ -32,7 +32,7 @@
             case Idempotency.NONE:
                 return False
 
-    def may_send_to(self, request: RequestState, endpoint: EndpointState) -> bool:
+    def may_send_to(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
         """Return whether another attempt is allowed at an endpoint."""
         if not self.may_send(request):
             return False
@@ -44,7 +44,7 @@
             for attempt in request.risky_attempts
         )
 
-    def retry_deadline(self, request: RequestState) -> int | None:
+    def retry_deadline(self, request: TrackedRequest) -> int | None:
         """Return until when endpoints drop duplicates of what may have run, None where there is no bound.
 
         It is the timer resolution earlier, so that what is sent just before it arrives in time."""
@@ -54,7 +54,7 @@
         window = request.request_class.deduplication_window
         return risky[0].sent_at + window - self.context.settings.timer_resolution
 
-    def may_reject(self, request: RequestState) -> bool:
+    def may_reject(self, request: TrackedRequest) -> bool:
         """Return whether the client may be told that a retry is harmless."""
         if not request.open_attempts and not request.risky_attempts:
             return True
@@ -64,11 +64,11 @@
         has_key = request_class.idempotency is Idempotency.KEYED
         return has_key and request_class.deduplication_scope is DeduplicationScope.ALL
 
-    def _attempts_exhausted(self, request: RequestState) -> bool:
+    def _attempts_exhausted(self, request: TrackedRequest) -> bool:
         limit = self.context.settings.max_attempts
         return limit is not None and len(request.attempts) >= limit
 
-    def _may_hedge(self, request: RequestState) -> bool:
+    def _may_hedge(self, request: TrackedRequest) -> bool:
         """Return whether another attempt may be out beside those that are."""
         if not request.open_attempts:
             return True
--- a/llm_router/routing/session_affinity.py
+++ b/llm_router/routing/session_affinity.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from llm_router.routing.endpoint_state import EndpointState
-    from llm_router.routing.request_state import RequestState
+    from llm_router.routing.tracked_request import TrackedRequest
 
 IDLE_TIMEOUT = 120 * SECOND  # nanoseconds after which an endpoint's cache has most likely lost a session
 
@@ -37,7 +37,7 @@
         """Return the affinity of a request's session."""
         return self.entries.get(self._key(received))
 
-    def record_answer(self, request: RequestState, decoded_by: EndpointState, now: int) -> None:
+    def record_answer(self, request: TrackedRequest, decoded_by: EndpointState, now: int) -> None:
         """Record who served a request; an append-prefill leaves the prefill endpoint as it was."""
         key = self._key(request.received)
         self.entries.pop(key, None)
@@ -52,7 +52,7 @@
         return received.session or received.prefix or ""
 
     @staticmethod
-    def _next_entry(request: RequestState, decoded_by: EndpointState, now: int) -> SessionAffinity:
+    def _next_entry(request: TrackedRequest, decoded_by: EndpointState, now: int) -> SessionAffinity:
         prefilled_by = request.prefilled_by
         if prefilled_by is None and decoded_by.role is Role.MIXED:
             prefilled_by = decoded_by
--- a/llm_router/routing/silence_detection.py
+++ b/llm_router/routing/silence_detection.py
@@ -7,9 +7,9 @@
 from llm_router.routing.endpoint_state import EndpointState
 from llm_router.routing.outlier_ejection import OutlierEjection
 from llm_router.routing.prefill_estimates import PrefillEstimates
-from llm_router.routing.request_state import Attempt, RequestState
 from llm_router.routing.settings import Idempotency
 from llm_router.routing.statistics import MovingAverage
+from llm_router.routing.tracked_request import Attempt, TrackedRequest
 
 SILENCE_FACTOR = 6.0  # multiple of a phase's mean time without a response that makes an endpoint silent
 MIN_PREFILL_SILENCE = 0.5  # and at least this multiple of the shortest latency objective, for a prefill
@@ -39,7 +39,7 @@
         """Record how many nanoseconds the first token of a decode attempt took."""
         self.first_token_time.add(elapsed)
 
-    def check(self, waiting: list[RequestState]) -> None:
+    def check(self, waiting: list[TrackedRequest]) -> None:
         """Look for silence at the endpoints of some requests without an answer."""
         attempts = [attempt for request in waiting for attempt in request.open_attempts]
         for endpoint in dict.fromkeys(attempt.endpoint for attempt in attempts):
--- a/llm_router/routing/timers.py
+++ b/llm_router/routing/timers.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from llm_router.routing.request_state import RequestState
+from llm_router.routing.tracked_request import TrackedRequest
 
-TimerCallback = Callable[[], RequestState | None]
+TimerCallback = Callable[[], TrackedRequest | None]
 
 
 class Timers:
@@ -22,7 +22,7 @@
         self._callbacks[self._last_id] = callback
         return self._last_id
 
-    def fire(self, timer_id: int) -> RequestState | None:
+    def fire(self, timer_id: int) -> TrackedRequest | None:
         """Run the callback of a timer once; return the request that has to be advanced, if any."""
         callback = self._callbacks.pop(timer_id, None)
         return callback() if callback else None
--- a/llm_router/routing/request_state.py
+++ b/llm_router/routing/tracked_request.py
@@ -12,18 +12,18 @@
 from llm_router.routing.settings import ClassSettings
 
 
-class AttemptState(Enum):
-    """The life cycle of an attempt; `ATTEMPT_TRANSITIONS` has its transitions."""
+class AttemptPhase(Enum):
+    """The life cycle of an attempt; `ATTEMPT_PHASE_TRANSITIONS` has its transitions."""
 
     WAITING = "waiting"  # sent, no token has come
     STREAMING = "streaming"  # tokens come
     ENDED = "ended"
 
 
-ATTEMPT_TRANSITIONS: dict[AttemptState, frozenset[AttemptState]] = {
-    AttemptState.WAITING: frozenset({AttemptState.STREAMING, AttemptState.ENDED}),
-    AttemptState.STREAMING: frozenset({AttemptState.STREAMING, AttemptState.ENDED}),
-    AttemptState.ENDED: frozenset(),
+ATTEMPT_PHASE_TRANSITIONS: dict[AttemptPhase, frozenset[AttemptPhase]] = {
+    AttemptPhase.WAITING: frozenset({AttemptPhase.STREAMING, AttemptPhase.ENDED}),
+    AttemptPhase.STREAMING: frozenset({AttemptPhase.STREAMING, AttemptPhase.ENDED}),
+    AttemptPhase.ENDED: frozenset(),
 }
 
 
@@ -35,26 +35,26 @@
 class Attempt:
     """One sending of a request to one endpoint."""
 
-    request: RequestState
+    request: TrackedRequest
     index: int
     endpoint: EndpointState
     is_prefill: bool  # at a prefill endpoint, else the endpoint decodes
     committed_tokens: int  # tokens that its answer may come to occupy
     uncached_tokens: int  # prompt tokens that the endpoint has to prefill, as far as we know
     sent_at: int
-    state: AttemptState = AttemptState.WAITING
+    state: AttemptPhase = AttemptPhase.WAITING
     may_have_run: bool = False  # it ended so that its effect may have happened
     failed: bool = False  # it served nothing: the next attempt prefers another endpoint
 
     @property
     def is_open(self) -> bool:
         """Return whether it has not ended."""
-        return self.state is not AttemptState.ENDED
+        return self.state is not AttemptPhase.ENDED
 
     @property
     def is_waiting(self) -> bool:
         """Return whether no token of it has come."""
-        return self.state is AttemptState.WAITING
+        return self.state is AttemptPhase.WAITING
 
     @property
     def is_overtaken(self) -> bool:
@@ -75,17 +75,17 @@
 
     def start_streaming(self) -> None:
         """Note its first token."""
-        self._enter(AttemptState.STREAMING)
+        self._enter(AttemptPhase.STREAMING)
 
     def end(self) -> None:
         """Note its end and free what was accounted for it."""
-        self._enter(AttemptState.ENDED)
+        self._enter(AttemptPhase.ENDED)
         del self.endpoint.open_attempts[self.key]
         self.endpoint.committed_tokens -= self.committed_tokens
         self.endpoint.streams -= not self.is_prefill
 
-    def _enter(self, state: AttemptState) -> None:
-        if state not in ATTEMPT_TRANSITIONS[self.state]:
+    def _enter(self, state: AttemptPhase) -> None:
+        if state not in ATTEMPT_PHASE_TRANSITIONS[self.state]:
             raise AttemptTransitionError(f"attempt {self.key}: {self.state.value} to {state.value}")
         self.state = state
 
@@ -99,7 +99,7 @@
 
 
 class RequestPhase(Enum):
-    """What a request waits for; `RequestState.phase` derives it.
+    """What a request waits for; `TrackedRequest.phase` derives it.
 
     WAITING to PREFILLED: `PrefillResults.record`.
     PREFILLED to WAITING: `RequestCompletion.release`, its KV state is given up.
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class RequestState:
+class TrackedRequest:
     """A request from its arrival until its last attempt has ended; all times are nanoseconds."""
 
     received: RequestReceived
--- a/tests/lifecycle/test_lease_releases.py
+++ b/tests/lifecycle/test_lease_releases.py
@@ -21,7 +21,7 @@
     lifecycle.submit()
     # The connection of the next prefill does not come up yet.
     reduce(lifecycle.state, lifecycle.now, events.AttemptEnded("q", 0, AttemptStatus.RESET))
-    timer_fired = events.TimerFired(events.ReleaseDue("q", lifecycle.now))
+    timer_fired = events.TimerFired(events.ReleaseTimer("q", lifecycle.now))
     released = reduce(lifecycle.state, lifecycle.now + 100 * MILLISECOND, timer_fired)
     assert any(isinstance(each, effects.Release) for each in released)
     lifecycle.feed(events.AttemptWritten("q", 1), 110 * MILLISECOND)
@@ -81,7 +81,7 @@
     lifecycle.feed(events.ReservationEnded("q", 0, ReservationOutcome.UNANSWERED))
     lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.PREFILLED), 10 * MILLISECOND)
     (scheduled,) = lifecycle.effects_of(effects.ScheduleTimer)
-    assert isinstance(scheduled.timer, events.ReleaseDue)
+    assert isinstance(scheduled.timer, events.ReleaseTimer)
     assert scheduled.at < lifecycle.now + 500 * MILLISECOND
     lifecycle.now = scheduled.at
     lifecycle.feed(events.TimerFired(scheduled.timer))
--- a/tests/routing/test_append_prefill.py
+++ b/tests/routing/test_append_prefill.py
@@ -18,8 +18,8 @@
 from llm_router.routing import append_prefill
 from llm_router.routing.append_prefill import PathAverages, PathKey
 from llm_router.routing.events import AttemptStatus
-from llm_router.routing.request_state import WorkloadCell
 from llm_router.routing.statistics import MovingAverage
+from llm_router.routing.tracked_request import WorkloadCell
 
 pytestmark = pytest.mark.usefixtures("no_exploration")
 
--- a/tests/routing/test_request_state.py
+++ b/tests/routing/test_tracked_request.py
@@ -4,7 +4,7 @@
 
 from llm_router.routing import events
 from llm_router.routing.events import AttemptStatus
-from llm_router.routing.request_state import AttemptState, AttemptTransitionError, RequestPhase
+from llm_router.routing.tracked_request import AttemptPhase, AttemptTransitionError, RequestPhase
 
 
 def test_request_passes_through_its_phases(harness):
@@ -33,6 +33,6 @@
     harness.submit()
     (attempt,) = harness.policy.requests["r"].open_attempts
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
-    assert attempt.state is AttemptState.ENDED
+    assert attempt.state is AttemptPhase.ENDED
     with pytest.raises(AttemptTransitionError, match="ended to"):
         getattr(attempt, transition)()
--- a/tests/support/reducer_harness.py
+++ b/tests/support/reducer_harness.py
@@ -67,7 +67,7 @@
         self.release_timers += [
             scheduled
             for scheduled in self.effects_of(effects.ScheduleTimer)
-            if isinstance(scheduled.timer, events.ReleaseDue)
+            if isinstance(scheduled.timer, events.ReleaseTimer)
         ]
         return self.effects
 
--- a/tests/transport/test_reservation_client.py
+++ b/tests/transport/test_reservation_client.py
@@ -60,7 +60,7 @@
         async with runtime_with_endpoints(decode=hang) as deployment:
             runtime = deployment.runtime
             runtime.proxied_requests["q"] = None
-            runtime.state.policy.handle = lambda now, event: []
+            runtime.state.policy.handle = lambda *_: []
             runtime.feed(events.RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
             prefill_attempt = Attempt(
                 runtime.state.numbers["r1"], is_prefill=True, opened_at=timedelta(seconds=1)
