--- a/llm_router/frontends/request_handling.py
+++ b/llm_router/frontends/request_handling.py
@@ -10,7 +10,7 @@
 
 from llm_router.lifecycle.events import ClientDisconnected, RequestReceived
 from llm_router.transport.frontend_protocol import ProxiedRequest
-from llm_router.transport.responses import MARGIN
+from llm_router.transport.responses import RESPONSE_MARGIN
 from llm_router.transport.runtime import Runtime
 
 MAX_KEY_LENGTH = 256  # characters of a session or prefix: the routing policy keeps them for minutes
@@ -23,7 +23,7 @@
 
 def usable_time(time_remaining: timedelta) -> timedelta:
     """Return how long the router may work on a request that its client waits for so long."""
-    return max(NO_TIME, time_remaining - MARGIN)
+    return max(NO_TIME, time_remaining - RESPONSE_MARGIN)
 
 
 def after_queueing(received: RequestReceived, queueing_delay: timedelta) -> RequestReceived:
--- a/llm_router/transport/responses.py
+++ b/llm_router/transport/responses.py
@@ -8,7 +8,9 @@
 
 from llm_router.transport.clock import to_seconds
 
-MARGIN = timedelta(milliseconds=20)  # of a client's time remaining, for the answer's way and a busy loop
+RESPONSE_MARGIN = timedelta(
+    milliseconds=20
+)  # of a client's time remaining, for the answer's way and a busy loop
 MIN_RETRY_AFTER = timedelta(milliseconds=200)  # what a rejected client is told at least
 
 
