--- a/llm_router/frontends/kserve/frontend.py
+++ b/llm_router/frontends/kserve/frontend.py
@@ -24,7 +24,7 @@
 from llm_router.routing.settings import Role
 from llm_router.transport.frontend_server import FrontendServer
 from llm_router.transport.pool import ConnectionPool
-from llm_router.transport.responses import target
+from llm_router.transport.responses import request_target
 from llm_router.transport.runtime import Runtime
 
 SERVER_NAME = "hoplane"  # the program's first name: clients may check it
@@ -77,7 +77,7 @@
             is_ready = self._is_ready(runtime)
             return json_response({"name": model, "ready": is_ready}, 200 if is_ready else 503)
         if operation is Operation.MODEL_METADATA:
-            return await self._describe_model(runtime, target(request))
+            return await self._describe_model(runtime, request_target(request))
         return await self._infer_within_memory(runtime, request)
 
     def _describe_server(self, operation: Operation) -> web.Response:
--- a/llm_router/frontends/kserve/proxied_request.py
+++ b/llm_router/frontends/kserve/proxied_request.py
@@ -15,7 +15,7 @@
 from llm_router.lifecycle.events import RequestReceived
 from llm_router.routing.events import AttemptStatus
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
-from llm_router.transport.responses import target
+from llm_router.transport.responses import request_target
 
 FORWARDED_HEADERS = ("Content-Type", INFERENCE_HEADER_LENGTH)  # in both directions
 NOT_PROCESSED = "X-Unprocessed"  # as on the platform; v2 itself has no such promise
@@ -29,7 +29,7 @@
     def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
         self.received = received
         self.sink = BufferedResponseSink()
-        self._body, self._path = body, target(request)
+        self._body, self._path = body, request_target(request)
         self._headers = _forwarded_headers(request.headers)
 
     def upstream_request(self, effect: OpenAttempt) -> UpstreamRequest:  # noqa: ARG002 - alike for each endpoint
--- a/llm_router/frontends/platform/proxied_request.py
+++ b/llm_router/frontends/platform/proxied_request.py
@@ -14,7 +14,7 @@
 from llm_router.lifecycle.events import RequestReceived
 from llm_router.transport.event_stream import EventStreamSink, StreamedResponse
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
-from llm_router.transport.responses import problem, target
+from llm_router.transport.responses import problem, request_target
 from llm_router.transport.responses import retry_after as format_retry_after
 
 STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
@@ -26,7 +26,7 @@
     def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
         self.received = received
         self._body = body
-        self._method, self._path = request.method, target(request)
+        self._method, self._path = request.method, request_target(request)
         self._content_type = request.headers.get("Content-Type", "application/json")
         self._done: asyncio.Future[web.StreamResponse] = asyncio.get_running_loop().create_future()
         self._response = StreamedResponse(headers=STREAM_HEADERS)
--- a/llm_router/transport/responses.py
+++ b/llm_router/transport/responses.py
@@ -14,7 +14,7 @@
 MIN_RETRY_AFTER = timedelta(milliseconds=200)  # what a rejected client is told at least
 
 
-def target(request: web.BaseRequest) -> str:
+def request_target(request: web.BaseRequest) -> str:
     """Return a request's path and query as they came, also where the whole URL was sent."""
     return request.raw_path if request.raw_path.startswith("/") else request.rel_url.raw_path_qs
 
