--- a/llm_router/frontends/platform/frontend.py
+++ b/llm_router/frontends/platform/frontend.py
@@ -12,7 +12,7 @@
 from llm_router.frontends.request_handling import InvalidRequestError, after_queueing, run_request
 from llm_router.lifecycle.events import RequestReceived
 from llm_router.transport.frontend_server import FrontendServer
-from llm_router.transport.responses import problem
+from llm_router.transport.responses import plain_text_error
 from llm_router.transport.runtime import Runtime
 
 
@@ -22,7 +22,7 @@
     def __init__(self, config: RouterConfig, runtime: Runtime) -> None:
         self.config, self.runtime = config, runtime
         self.class_names = {each.name for each in config.settings.classes}
-        self.server = FrontendServer(config, self.handle, problem)
+        self.server = FrontendServer(config, self.handle, plain_text_error)
 
     @property
     def runtimes(self) -> list[Runtime]:
@@ -34,13 +34,13 @@
         if request.path == READINESS_PATH:
             return web.Response(status=503 if self.server.shutting_down else 200)
         if request.path != CHAT_PATH:
-            return problem(404, "unknown path", close=True)
+            return plain_text_error(404, "unknown path", close=True)
         if request.method != "POST":
-            return problem(405, "only POST", close=True)
+            return plain_text_error(405, "only POST", close=True)
         try:
             received = parse_request(request.headers, self.class_names)
         except InvalidRequestError as error:
-            return problem(400, str(error), close=True)
+            return plain_text_error(400, str(error), close=True)
         size = self.server.body_size_bound(request)
         if not self.server.body_memory.reserve(size):
             return _overloaded()
@@ -55,10 +55,10 @@
         if isinstance(body, web.Response):
             return body
         if body_problem := _find_body_problem(body):
-            return problem(400, body_problem, close=True)
+            return plain_text_error(400, body_problem, close=True)
         await self.server.detect_disconnect(request)
         if received.request_id in self.runtime.proxied_requests:
-            return problem(409, "this id is in use")
+            return plain_text_error(409, "this id is in use")
         if len(self.runtime.proxied_requests) >= self.config.max_open_requests:
             return _overloaded()
         received = after_queueing(received, self.server.queueing_delay(request))
--- a/llm_router/frontends/platform/proxied_request.py
+++ b/llm_router/frontends/platform/proxied_request.py
@@ -14,7 +14,7 @@
 from llm_router.lifecycle.events import RequestReceived
 from llm_router.transport.event_stream import EventStreamSink, StreamedResponse
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
-from llm_router.transport.responses import problem, request_target
+from llm_router.transport.responses import plain_text_error, request_target
 from llm_router.transport.responses import retry_after as format_retry_after
 
 STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
@@ -57,7 +57,9 @@
 
     def fail(self, id_conflict: bool) -> None:
         """Answer that the request failed, or that its id belongs to another one."""
-        self._answer(problem(409, "this id is in use") if id_conflict else problem(502, "failed"))
+        self._answer(
+            plain_text_error(409, "this id is in use") if id_conflict else plain_text_error(502, "failed")
+        )
 
     def _answer(self, response: web.Response) -> None:
         if not self._done.done():
--- a/llm_router/transport/frontend_server.py
+++ b/llm_router/transport/frontend_server.py
@@ -19,7 +19,7 @@
 )
 from llm_router.transport.listener import open_listener
 from llm_router.transport.resource_limits import BodyMemoryBudget
-from llm_router.transport.responses import problem
+from llm_router.transport.responses import plain_text_error
 from llm_router.transport.shutdown import Shutdown, ShutdownPhase
 
 BODY_TIMEOUT = timedelta(seconds=2.6)  # for a body: a new client is owed an error or a close within 3 s
@@ -115,7 +115,7 @@
         """Return a body, or the response that rejects it where it is too large or too late."""
         size = request.content_length
         if size is not None and size > MAX_BODY_BYTES:
-            return problem(413, "the body is over 256 KiB", close=True)
+            return plain_text_error(413, "the body is over 256 KiB", close=True)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         deadline = self.http_server.request_awaited_since(request) + to_seconds(BODY_TIMEOUT)
@@ -123,9 +123,9 @@
             async with asyncio.timeout_at(deadline):
                 return await request.read()
         except web.HTTPRequestEntityTooLarge:
-            return problem(413, "the body is over 256 KiB", close=True)
+            return plain_text_error(413, "the body is over 256 KiB", close=True)
         except TimeoutError:
-            return problem(408, "the body did not arrive", close=True)
+            return plain_text_error(408, "the body did not arrive", close=True)
 
     async def shut_down(self) -> None:
         """Stop accepting clients, and serve those that are there to the end."""
--- a/llm_router/transport/responses.py
+++ b/llm_router/transport/responses.py
@@ -19,7 +19,7 @@
     return request.raw_path if request.raw_path.startswith("/") else request.rel_url.raw_path_qs
 
 
-def problem(status: int, text: str, close: bool = False) -> web.Response:
+def plain_text_error(status: int, text: str, close: bool = False) -> web.Response:
     """Return a response that says what is wrong; `close` where what may follow is not to be trusted."""
     response = web.Response(status=status, text=text + "\n")
     if close:
