--- a/llm_router/service.py
+++ b/llm_router/service.py
@@ -50,7 +50,7 @@
     async def watch(self) -> None:
         """Pass on changes until cancelled."""
 
-    def moved(self, config: RouterConfig) -> Self:
+    def reconfigured(self, config: RouterConfig) -> Self:
         """Return the watch of a reloaded configuration; raise ConfigurationError if it cannot be used."""
 
 
@@ -126,7 +126,7 @@
         with an address that discovery has left."""
         try:
             new = self.reload_config()
-            endpoint_watch = self.endpoint_watch.moved(new)
+            endpoint_watch = self.endpoint_watch.reconfigured(new)
         except ConfigurationError as error:
             log.emit("configuration_reload_failed", error=str(error))
             return
--- a/llm_router/transport/discovery.py
+++ b/llm_router/transport/discovery.py
@@ -51,14 +51,14 @@
     def __str__(self) -> str:
         return self._address
 
-    def moved(self, config: RouterConfig) -> Discovery:
+    def reconfigured(self, config: RouterConfig) -> Discovery:
         """Return a new configuration's watch, which starts with a full snapshot.
 
         Another agent may number its lists differently."""
         assert config.discovery is not None, "a configuration with a discovery watch has its address"
-        moved = Discovery(self._pool, "{}:{}".format(*config.discovery), self._read, self._feed)
-        moved._last_response = self._last_response
-        return moved
+        reconfigured = Discovery(self._pool, "{}:{}".format(*config.discovery), self._read, self._feed)
+        reconfigured._last_response = self._last_response
+        return reconfigured
 
     def accept_list(self, response: object) -> None:
         """Feed a response: a full snapshot, or changes to a list that is known.
--- a/llm_router/xds/watch.py
+++ b/llm_router/xds/watch.py
@@ -45,7 +45,7 @@
     def __str__(self) -> str:
         return ", ".join(file.name for file in self.files)
 
-    def moved(self, config: RouterConfig) -> XdsFileWatch:
+    def reconfigured(self, config: RouterConfig) -> XdsFileWatch:
         """Return the watch of a reloaded configuration, which knows what this one has passed on.
 
         Raise ConfigurationError if its files are invalid."""
--- a/tests/transport/test_discovery.py
+++ b/tests/transport/test_discovery.py
@@ -176,11 +176,11 @@
                 config = platform_configuration(
                     {"name": "n", "listen": "127.0.0.1:1", "discovery": hangs, "settings": SETTINGS}
                 )
-                moved = watch.moved(config)
-                watching = asyncio.create_task(moved.watch())
+                reconfigured = watch.reconfigured(config)
+                watching = asyncio.create_task(reconfigured.watch())
                 await asyncio.sleep(1)
                 watching.cancel()
-                returned = moved.moved(
+                returned = reconfigured.reconfigured(
                     platform_configuration(
                         {
                             "name": "n",
