--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -26,17 +26,17 @@
         body = {"index": self.index, "snapshot": since == 0, "endpoints": self.entries}
         writer.write(message("HTTP/1.1 200 OK", json.dumps(body).encode()))
 
-    async def lose(self):
+    async def take_offline(self):
         """Refuse connections and reset the open ones; return what brings it back at its address."""
         host, port = self.address.split(":")
         self.server.close()
         for transport in list(self.open):
             transport.abort()
 
-        async def come_back():
+        async def restart():
             self.server = await asyncio.start_server(self.serve, host, int(port))
 
-        return come_back
+        return restart
 
     async def publish(self, entries):
         """Replace the endpoint list."""
--- a/tests/test_log_without_consumer.py
+++ b/tests/test_log_without_consumer.py
@@ -16,9 +16,9 @@
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             program.log_pipe.close()
-            come_back = await program.discovery.lose()
+            restart = await program.discovery.take_offline()
             await asyncio.sleep(0.3)
-            await come_back()
+            await restart()
             await within(program.discovery.wait_for("GET /registry/instances "))
             draining = [{**each, "status": "Terminating"} for each in program.entries]
             await program.discovery.publish(draining)
