--- a/tests/emulator/test_release_without_answers.py
+++ b/tests/emulator/test_release_without_answers.py
@@ -94,7 +94,7 @@
     async def test():
         settings = customer(release_timeout, reservations=False)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
-            deployment["r1"].cuts_prefill_answers = True
+            deployment["r1"].truncates_prefill_responses = True
             status_line, _, _ = await deployment.router.exchange(chat_request("r1", facts=FACTS))
             assert status_line.split()[1] == "200"
             assert await deployment.record.final_violations() == []
--- a/tests/support/gated_endpoint.py
+++ b/tests/support/gated_endpoint.py
@@ -29,7 +29,7 @@
         self.finish.set()
         self.answers_reservations = True
         self.answers_releases = True
-        self.cuts_prefill_answers = False  # their head comes and their body never ends
+        self.truncates_prefill_responses = False  # their head comes and their body never ends
         self.grants_reservations = True
         self.resets_prefills = False
         self.calls: list[str] = []  # method and path of each
@@ -170,7 +170,7 @@
                 request.leased = {*request.leased, self._kv_state}
         if completed:
             answer = message("HTTP/1.1 202 Accepted", b'{"cached_tokens":0}')
-            writer.write(answer[:-1] if self.cuts_prefill_answers else answer)
+            writer.write(answer[:-1] if self.truncates_prefill_responses else answer)
         else:
             writer.close()
 
