--- a/llm_router/lifecycle/endpoint.py
+++ b/llm_router/lifecycle/endpoint.py
@@ -7,7 +7,7 @@
 
 from llm_router.routing.events import EndpointStatus
 
-LONG_AGO = timedelta()  # the start of an endpoint that discovery gives no start time for
+NO_START_TIME = timedelta()  # the start of an endpoint that discovery gives no start time for
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,4 +24,4 @@
     cell: int
     status: EndpointStatus
     weight: float = 1.0
-    started_at: timedelta = LONG_AGO
+    started_at: timedelta = NO_START_TIME
--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -10,7 +10,7 @@
 from math import isnan
 
 from llm_router.lifecycle.endpoint import (
-    LONG_AGO as LONG_AGO,
+    NO_START_TIME as NO_START_TIME,
 )  # re-exported for the parsers of endpoint lists
 
 LATEST = timedelta(days=100_000)  # a reported start beyond this is no time at all, and counts as now
@@ -50,9 +50,9 @@
         first. What was not in that answer started later, or a little before it where lists come late: a
         start that is reported further back counts from that answer. A start that is reported once more
         counts as it did."""
-        if reported == LONG_AGO:
+        if reported == NO_START_TIME:
             self.listed.pop(name, None)
-            return LONG_AGO
+            return NO_START_TIME
         start = self.listed.get(name) or self._restore(name)
         if start is None or start.reported != reported:
             start = StartTime(reported, self._bounded(reported, now, since_last_answer, start))
--- a/tests/frontends/test_malformed_lists.py
+++ b/tests/frontends/test_malformed_lists.py
@@ -9,7 +9,7 @@
 from llm_router.frontends.registry_list import read_list
 from llm_router.lifecycle import events
 from llm_router.lifecycle.endpoint import Endpoint
-from llm_router.lifecycle.start_times import LATEST, LONG_AGO, parse_start_time
+from llm_router.lifecycle.start_times import LATEST, NO_START_TIME, parse_start_time
 from llm_router.routing.events import EndpointStatus
 
 GOOD = registry_entry("good", "127.0.0.1:1", "prefill")
@@ -22,8 +22,8 @@
 @pytest.mark.parametrize(
     ("since", "start"),
     [
-        (0, LONG_AGO),
-        (-5, LONG_AGO),
+        (0, NO_START_TIME),
+        (-5, NO_START_TIME),
         (1500, timedelta(seconds=1.5)),
         (1500.0, timedelta(seconds=1.5)),
         (1e300, LATEST),
--- a/tests/lifecycle/test_start_times.py
+++ b/tests/lifecycle/test_start_times.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from llm_router.lifecycle.start_times import LONG_AGO, StartTimes
+from llm_router.lifecycle.start_times import NO_START_TIME, StartTimes
 
 
 def seconds(value):
@@ -13,7 +13,7 @@
 
 
 def test_a_start_of_long_ago_stays_one():
-    assert StartTimes().effective("a", LONG_AGO, NOW, seconds(1)) == LONG_AGO
+    assert StartTimes().effective("a", NO_START_TIME, NOW, seconds(1)) == NO_START_TIME
 
 
 def test_a_true_start_counts_from_its_time():
