--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -13,7 +13,7 @@
     NO_START_TIME as NO_START_TIME,
 )  # re-exported for the parsers of endpoint lists
 
-LATEST = timedelta(days=100_000)  # a reported start beyond this is no time at all, and counts as now
+MAX_START_TIME = timedelta(days=100_000)  # a reported start beyond this is no time at all, and counts as now
 RETENTION = timedelta(minutes=10)  # for how long an endpoint that is no longer listed keeps its start
 
 
@@ -96,8 +96,8 @@
 
     What is not a number may mean anything, so it counts as a start of just now; so does a future time."""
     if isinstance(unix_milliseconds, bool) or not isinstance(unix_milliseconds, int | float):
-        return LATEST
+        return MAX_START_TIME
     if isinstance(unix_milliseconds, float) and isnan(unix_milliseconds):
-        return LATEST
-    latest = LATEST // timedelta(milliseconds=1)
+        return MAX_START_TIME
+    latest = MAX_START_TIME // timedelta(milliseconds=1)
     return timedelta(milliseconds=min(max(unix_milliseconds, 0), latest))
--- a/tests/frontends/test_malformed_lists.py
+++ b/tests/frontends/test_malformed_lists.py
@@ -9,7 +9,7 @@
 from llm_router.frontends.registry_list import read_list
 from llm_router.lifecycle import events
 from llm_router.lifecycle.endpoint import Endpoint
-from llm_router.lifecycle.start_times import LATEST, NO_START_TIME, parse_start_time
+from llm_router.lifecycle.start_times import MAX_START_TIME, NO_START_TIME, parse_start_time
 from llm_router.routing.events import EndpointStatus
 
 GOOD = registry_entry("good", "127.0.0.1:1", "prefill")
@@ -26,12 +26,12 @@
         (-5, NO_START_TIME),
         (1500, timedelta(seconds=1.5)),
         (1500.0, timedelta(seconds=1.5)),
-        (1e300, LATEST),
-        (float("inf"), LATEST),
-        (float("nan"), LATEST),
-        ("soon", LATEST),
-        (None, LATEST),
-        (True, LATEST),
+        (1e300, MAX_START_TIME),
+        (float("inf"), MAX_START_TIME),
+        (float("nan"), MAX_START_TIME),
+        ("soon", MAX_START_TIME),
+        (None, MAX_START_TIME),
+        (True, MAX_START_TIME),
     ],
 )
 def test_a_malformed_start_time_counts_as_just_now(since, start):
