--- a/tests/frontends/test_malformed_lists.py
+++ b/tests/frontends/test_malformed_lists.py
@@ -102,7 +102,7 @@
             line = await program.wait_for_log("endpoint_entries_malformed")
             assert any("malformed.address" in each for each in line["entries"])
             assert (await program.exchange(chat_request()))[0].split()[1] == "200"
-            assert not await program.faults()
+            assert not await program.stop_and_read_internal_errors()
             assert not any(each["event"] == "discovery_lost" for each in program.log)
 
     run(test())
--- a/tests/frontends/test_platform_failures.py
+++ b/tests/frontends/test_platform_failures.py
@@ -141,6 +141,6 @@
                 "POST /v1/chat"
             )
             assert {call[1]["x-correlation-id"] for call in posts} == {"r1"}, "nothing more is sent for it"
-            assert not await program.faults()
+            assert not await program.stop_and_read_internal_errors()
 
     run(test())
--- a/tests/frontends/test_platform_limits.py
+++ b/tests/frontends/test_platform_limits.py
@@ -69,6 +69,6 @@
                     assert (await program.exchange(chat_request(f"r{n}")))[0].endswith("200 OK")
                 for _, client in idle:
                     client.close()
-                assert not await program.faults()
+                assert not await program.stop_and_read_internal_errors()
 
     run(test())
--- a/tests/frontends/test_platform_load_reports.py
+++ b/tests/frontends/test_platform_load_reports.py
@@ -48,7 +48,7 @@
                     "/stats",
                     "/v1/chat/completions",
                 ]
-                assert not await program.faults()
+                assert not await program.stop_and_read_internal_errors()
 
     asyncio.run(test())
 
@@ -74,6 +74,6 @@
                 request = asyncio.ensure_future(program.exchange(chat_request()))
                 await prefill_server.wait_for("POST /v1/chat")
                 request.cancel()
-                assert not await program.faults()
+                assert not await program.stop_and_read_internal_errors()
 
     asyncio.run(test())
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -62,7 +62,7 @@
         self.process.send_signal(signal.SIGTERM)
         return await within(self.process.wait())
 
-    async def faults(self):
+    async def stop_and_read_internal_errors(self):
         """Stop the router and return the lines of its log that report internal errors."""
         assert await self.stop() == 0
         remaining = await within(self.process.stderr.read())
--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -100,7 +100,7 @@
         async with router_with_endpoints(tmp_path) as program:
             await all_end(program, b"/v1/chat/completions", [program.prefill_server, program.decode_server])
             assert (await program.exchange(chat_request(id="good")))[0].split()[1] == "200"
-            assert not await program.faults()
+            assert not await program.stop_and_read_internal_errors()
 
     run(test())
 
@@ -110,7 +110,7 @@
         async with StandInServer(answer_v2) as server, sidecar(tmp_path, server) as program:
             await all_end(program, b"/v2/models/desk/infer", [server])
             assert await status(program, infer()) == 200
-            assert not await program.faults()
+            assert not await program.stop_and_read_internal_errors()
 
     run(test())
 
@@ -242,7 +242,7 @@
                 pass
             for number in range(4):  # a safe one goes to the other decode endpoint, if it met the bad one
                 assert (await program.exchange(chat_request(id=f"s{number}")))[0].split()[1] == "200", name
-            assert not await program.faults()
+            assert not await program.stop_and_read_internal_errors()
 
     async def test():
         tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED.items()))
@@ -324,7 +324,7 @@
             await program.wait_for_log("endpoint_list_updated")
             for number in range(4):
                 assert await status(program, infer(request_id=f"l{number}", cls="lookup")) == 200
-            assert not await program.faults()
+            assert not await program.stop_and_read_internal_errors()
 
     async def test():
         tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED.items()))
--- a/tests/transport/test_signals.py
+++ b/tests/transport/test_signals.py
@@ -56,7 +56,7 @@
             line = await program.wait_for_log("configuration_reload_failed")
             assert "\n" not in line["error"] and line["error"]
             assert (await program.exchange(chat_request()))[0].split()[1] == "200"
-            assert not await program.faults()
+            assert not await program.stop_and_read_internal_errors()
             assert sum(each["event"] == "configuration_reload_failed" for each in program.log) == 1
 
     asyncio.run(test())
