--- a/llm_router/routing/append_prefill.py
+++ b/llm_router/routing/append_prefill.py
@@ -13,7 +13,7 @@
 from llm_router.routing.events import AttemptEnded
 from llm_router.routing.prefill_estimates import PrefillEstimates
 from llm_router.routing.statistics import MovingAverage
-from llm_router.routing.tracked_request import TrackedRequest, WorkloadCell
+from llm_router.routing.tracked_request import TrackedRequest, WorkloadBucket
 
 FIRST_TOKEN_WEIGHT = 1.0  # of the score's two halves, without unit: the paper weighs both alike
 TOKEN_INTERVAL_WEIGHT = 1.0
@@ -24,9 +24,9 @@
 
 
 class PathKey(NamedTuple):
-    """A workload cell on one of the two paths."""
+    """A workload bucket on one of the two paths."""
 
-    cell: WorkloadCell
+    bucket: WorkloadBucket
     append_prefill: bool
 
 
@@ -44,7 +44,7 @@
 
 
 class AppendPrefill:
-    """Compares the two paths of a later turn by the averages of the workload cell that it falls into."""
+    """Compares the two paths of a later turn by the averages of the workload bucket that it falls into."""
 
     def __init__(
         self, context: PolicyContext, candidates: CandidateSubset, estimates: PrefillEstimates
@@ -99,10 +99,10 @@
         return endpoint.streams > MAX_STREAMS_FACTOR * max(1, usual)
 
     def _is_better(self, request: TrackedRequest) -> bool:
-        """Return whether append-prefill scores above the usual path in the request's workload cell."""
-        cell = self._workload(request)
-        append = self.averages.get(PathKey(cell, append_prefill=True), PathAverages())
-        usual = self.averages.get(PathKey(cell, append_prefill=False), PathAverages())
+        """Return whether append-prefill scores above the usual path in the request's workload bucket."""
+        bucket = self._workload(request)
+        append = self.averages.get(PathKey(bucket, append_prefill=True), PathAverages())
+        usual = self.averages.get(PathKey(bucket, append_prefill=False), PathAverages())
         if not append.complete or not usual.complete:
             return request.new_tokens < MAX_NEW_TOKENS_UNMEASURED
         first_token_gain = _relative_gain(append.first_token, usual.first_token)
@@ -113,13 +113,13 @@
         key = PathKey(self._workload(request), request.append_endpoint is not None)
         return self.averages.setdefault(key, PathAverages())
 
-    def _workload(self, request: TrackedRequest) -> WorkloadCell:
-        """Return the workload cell of a request, which is that of the moment it is first needed."""
+    def _workload(self, request: TrackedRequest) -> WorkloadBucket:
+        """Return the workload bucket of a request, which is that of the moment it is first needed."""
         if request.workload is None:
             endpoints = self.candidates.candidates(DECODE_ROLES)
             load = sum(endpoint.streams for endpoint in endpoints) / max(1, len(endpoints))
             self._streams.add(load)
-            request.workload = WorkloadCell(
+            request.workload = WorkloadBucket(
                 long_context=request.received.prompt_tokens > self.estimates.mean_prompt_tokens,
                 prefill_heavy=request.new_tokens > request.expected_output_tokens,
                 high_load=load > (self._streams.value or 0),
--- a/llm_router/routing/tracked_request.py
+++ b/llm_router/routing/tracked_request.py
@@ -90,7 +90,7 @@
         self.state = state
 
 
-class WorkloadCell(NamedTuple):
+class WorkloadBucket(NamedTuple):
     """The kind of workload that a request is, within which the two paths of a later turn are compared."""
 
     long_context: bool
@@ -132,7 +132,7 @@
     reserved_endpoint: EndpointState | None = None
     probed_endpoints: list[EndpointState] = field(default_factory=list)
     probe_deadline: int = 0  # until when the last load probe is waited for
-    workload: WorkloadCell | None = None
+    workload: WorkloadBucket | None = None
     first_token_at: int | None = None
     retry_after: int = 0  # how long the client should wait if the request is rejected
     ended: bool = False
--- a/tests/routing/test_append_prefill.py
+++ b/tests/routing/test_append_prefill.py
@@ -19,16 +19,16 @@
 from llm_router.routing.append_prefill import PathAverages, PathKey
 from llm_router.routing.events import AttemptStatus
 from llm_router.routing.statistics import MovingAverage
-from llm_router.routing.tracked_request import WorkloadCell
+from llm_router.routing.tracked_request import WorkloadBucket
 
 pytestmark = pytest.mark.usefixtures("no_exploration")
 
 
 def set_averages(harness, append, usual):
-    """Set the averages of both paths, as (first token, token interval), in every workload cell."""
+    """Set the averages of both paths, as (first token, token interval), in every workload bucket."""
     averages = harness.policy.append_prefill.averages
-    for cell in product((False, True), repeat=3):
-        workload = WorkloadCell(*cell)
+    for bucket in product((False, True), repeat=3):
+        workload = WorkloadBucket(*bucket)
         for is_append, values in ((True, append), (False, usual)):
             averages[PathKey(workload, is_append)] = PathAverages(*map(MovingAverage, values))
 
