--- a/llm_router/lifecycle/attempt.py
+++ b/llm_router/lifecycle/attempt.py
@@ -9,7 +9,8 @@
 from llm_router.lifecycle.endpoint import Endpoint
 from llm_router.routing.events import AttemptStatus
 
-MAY_HAVE_RUN = frozenset(  # after these the request may have had an effect at a decode endpoint
+# After a decode attempt ends with one of these statuses, the request may have had an effect at its endpoint.
+MAY_HAVE_RUN = frozenset(
     {
         AttemptStatus.OK,
         AttemptStatus.ERROR,
@@ -18,21 +19,21 @@
         AttemptStatus.CANCELLED,
     }
 )
-STILL_RUNNING = "out"  # how the log shows an attempt that has not ended
+STILL_RUNNING = "out"  # the log's word for an attempt that has not ended
 
 
 class AttemptState(Enum):
-    """How far an attempt has come."""
+    """The progress of an attempt."""
 
-    CONNECTING = auto()  # no byte has been written
-    WRITTEN = auto()  # bytes may have reached the endpoint
-    RESPONDING = auto()  # its response is being forwarded to the client
-    ENDED_UNWRITTEN = auto()  # ended before a byte was written
-    ENDED = auto()  # ended after bytes may have reached the endpoint
+    CONNECTING = auto()  # The connection is being set up, and no byte has been written.
+    WRITTEN = auto()  # Bytes of the attempt may have reached its endpoint.
+    RESPONDING = auto()  # The response of the endpoint is being forwarded to the client.
+    ENDED_UNWRITTEN = auto()  # The attempt ended before a byte was written.
+    ENDED = auto()  # The attempt ended after bytes may have reached its endpoint.
 
 
 class AttemptChange(Enum):
-    """What happens to an attempt."""
+    """An event that moves an attempt from one state to another."""
 
     WRITTEN = auto()
     RESPONSE_STARTED = auto()
@@ -59,19 +60,19 @@
 
 
 class Arrival(Enum):
-    """What is known of the arrival of a written attempt at its endpoint.
+    """The router's knowledge about whether a written attempt has reached its endpoint.
 
-    UNKNOWN may become DOUBTED, and both may become MISSING. A reservation call whose answer shows that the
-    prefill is known makes each of them ARRIVED."""
+    UNKNOWN may change to SUSPECTED_MISSING, and both may change to MISSING. Each of the three changes to
+    ARRIVED if the answer to a reservation call shows that the decode endpoint knows the prefill."""
 
-    UNKNOWN = auto()  # it counts as arrived, as most have
-    DOUBTED = auto()  # a decode endpoint that was to make a reservation did not know of it
-    ARRIVED = auto()  # another endpoint knows of it
-    MISSING = auto()  # its last byte seems never to have arrived
+    UNKNOWN = auto()  # No sign is known; the attempt counts as arrived, as most attempts do arrive.
+    SUSPECTED_MISSING = auto()  # A decode endpoint did not know the prefill of a reservation call.
+    ARRIVED = auto()  # A decode endpoint knows the prefill, so the attempt has arrived.
+    MISSING = auto()  # The last byte of the attempt has probably not arrived.
 
     @property
-    def is_settled(self) -> bool:
-        """Whether it is known that the attempt arrived, or that it did not."""
+    def is_known(self) -> bool:
+        """Whether the attempt counts as arrived or as missing, with no doubt left."""
         return self in (Arrival.ARRIVED, Arrival.MISSING)
 
 
@@ -82,55 +83,57 @@
     endpoint_id: int
     is_prefill: bool
     opened_at: timedelta
-    endpoint: Endpoint | None = None  # None if it was no longer listed
+    endpoint: Endpoint | None = None  # None if the endpoint list did not contain it
     state: AttemptState = AttemptState.CONNECTING
     arrival: Arrival = Arrival.UNKNOWN
-    abort_status: AttemptStatus | None = None  # how it counts once its aborted connection is closed
-    status: AttemptStatus | None = None  # how it ended
+    abort_status: AttemptStatus | None = (
+        None  # the status of an aborted attempt once its connection is closed
+    )
+    status: AttemptStatus | None = None  # the status of an attempt that has ended
 
     @property
     def endpoint_name(self) -> str:
-        """The name of its endpoint, empty if that was no longer listed."""
+        """The name of the endpoint, or an empty string if the endpoint list did not contain it."""
         return "" if self.endpoint is None else self.endpoint.name
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the attempt has not ended."""
         return self.state not in (AttemptState.ENDED_UNWRITTEN, AttemptState.ENDED)
 
     @property
     def was_written(self) -> bool:
-        """Whether bytes of it may have reached the endpoint."""
+        """Whether bytes of the attempt may have reached its endpoint."""
         return self.state not in (AttemptState.CONNECTING, AttemptState.ENDED_UNWRITTEN)
 
     @property
     def is_responding(self) -> bool:
-        """Whether its response is being forwarded to the client."""
+        """Whether the response to the attempt is being forwarded to the client."""
         return self.state is AttemptState.RESPONDING
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it has ended and may have had an effect; a prefill has none."""
+        """Whether the attempt has ended and may have had an effect; a prefill has none."""
         return not self.is_prefill and self.status in MAY_HAVE_RUN
 
     @property
     def outcome(self) -> str:
-        """How it ended, or that it is still running, for the log."""
+        """The status of the attempt as the log shows it, or a fixed word while the attempt is running."""
         return STILL_RUNNING if self.status is None else self.status.value
 
     def change(self, change: AttemptChange) -> None:
-        """Enter the state that follows a change."""
+        """Move the attempt to the state that ATTEMPT_TRANSITIONS gives for a change."""
         self.state = ATTEMPT_TRANSITIONS[change].get(self.state, self.state)
 
     def end(self, status: AttemptStatus) -> None:
-        """Record how it ended."""
+        """Record that the attempt ended with this status."""
         self.status = status
         self.change(AttemptChange.ENDED)
 
     def final_status(self, reported: AttemptStatus) -> AttemptStatus:
-        """Return the status to count for a reported one: an aborted attempt ends as its abort says."""
+        """Return the final status for a reported one; an aborted attempt gets the status of its abort."""
         if reported is not AttemptStatus.CANCELLED or self.abort_status is None:
             return reported
         if self.abort_status is AttemptStatus.CONNECT_FAILED and self.was_written:
-            return AttemptStatus.CANCELLED  # aborted as unwritten, and written in the same moment
+            return AttemptStatus.CANCELLED  # The attempt was written just before its abort took effect.
         return self.abort_status
--- a/llm_router/lifecycle/attempt_events.py
+++ b/llm_router/lifecycle/attempt_events.py
@@ -1,4 +1,4 @@
-"""Handlers of the events in the life of an attempt."""
+"""Handlers of the events about an attempt, from its first byte to its end."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 from llm_router.routing import events as routing_events
 from llm_router.routing.events import AttemptStatus, ConnectionFault
 
-ENDPOINT_ANSWERED = {  # whether an endpoint answers, by how an attempt ended; other ends do not say
+# Whether the final status of an attempt shows that its endpoint answers requests. The statuses that are not
+# listed show neither.
+ENDPOINT_ANSWERED = {
     AttemptStatus.OK: True,
     AttemptStatus.PREFILLED: True,
     AttemptStatus.OVERLOADED: True,
@@ -28,8 +30,11 @@
     AttemptStatus.TIMEOUT: False,
 }
 ABORTED = frozenset({AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT})
-MIN_SILENCE = timedelta(milliseconds=120)  # several round trips: the way to the endpoint may be cut since
-ONLY_WRITTEN = frozenset(  # only an attempt that was written ends so
+# An aborted attempt without an answer suggests a network partition only if it ran for this long, which is
+# several round trips.
+MIN_UNANSWERED_TIME = timedelta(milliseconds=120)
+# Only an attempt that was written ends with one of these statuses.
+STATUSES_AFTER_WRITE = frozenset(
     {
         AttemptStatus.OK,
         AttemptStatus.PREFILLED,
@@ -43,7 +48,7 @@
 def on_attempt_written(
     state: RouterState, now: timedelta, event: events.AttemptWritten
 ) -> Iterator[effects.Effect]:
-    """Record that an attempt may have reached its endpoint from now on."""
+    """Record that an attempt is being written and may reach its endpoint from now on."""
     request = state.requests.get(event.request_id)
     if request is None:
         return
@@ -63,7 +68,7 @@
 def on_attempt_unacknowledged(
     state: RouterState, now: timedelta, event: events.AttemptUnacknowledged
 ) -> Iterator[effects.Effect]:
-    """Record that an attempt has not arrived at its endpoint's machine: it no longer delays a release."""
+    """Mark an attempt as missing if the host of its endpoint has not acknowledged its last byte."""
     request = state.requests.get(event.request_id)
     if request is not None:
         yield from mark_attempt_missing(state, now, request, event.attempt)
@@ -72,9 +77,11 @@
 def mark_attempt_missing(
     state: RouterState, now: timedelta, request: Request, index: int
 ) -> Iterator[effects.Effect]:
-    """Record a sign that an attempt has not arrived, unless it has ended or its arrival is settled."""
+    """Mark an attempt as missing, so that it does not delay a release.
+
+    Do nothing if the attempt has ended, is responding, or is already known to be missing or arrived."""
     attempt = request.attempts[index]
-    if not attempt.is_running or attempt.is_responding or attempt.arrival.is_settled:
+    if not attempt.is_running or attempt.is_responding or attempt.arrival.is_known:
         return
     attempt.arrival = Arrival.MISSING
     request.history.record(now, "missing", attempt.endpoint_name)
@@ -88,7 +95,7 @@
 def on_response_started(
     state: RouterState, now: timedelta, event: events.ResponseStarted
 ) -> Iterator[effects.Effect]:
-    """Commit the request to a response: its deadline no longer applies."""
+    """Record that the response to a request has started, after which the deadline does not apply."""
     request = state.requests.get(event.request_id)
     if request is None or request.is_closed:
         return
@@ -110,7 +117,7 @@
 def on_attempt_ended(
     state: RouterState, now: timedelta, event: events.AttemptEnded
 ) -> Iterator[effects.Effect]:
-    """Record the end of an attempt, and let the policy go on."""
+    """Record the end of an attempt, and report it to the policy."""
     request = state.requests.get(event.request_id)
     if request is None or not request.attempts[event.attempt].is_running:
         return
@@ -122,21 +129,24 @@
     yield from _record_metrics(state, now, attempt, status)
     if had_response or status is AttemptStatus.OK:
         request.change(RequestChange.CLOSED)
-    if attempt.was_written or status in ONLY_WRITTEN:
-        after_silence = status in ABORTED and _was_silent(state, now, attempt)
+    if attempt.was_written or status in STATUSES_AFTER_WRITE:
+        may_be_unreachable = status in ABORTED and _may_be_unreachable(state, now, attempt)
         if attempt.is_prefill:
-            request.lease.prefill_ended(now, status, after_silence=after_silence)
+            request.lease.prefill_ended(now, status, may_be_unreachable=may_be_unreachable)
         elif not had_response:
-            request.lease.decode_ended(event.attempt, now, status, after_silence=after_silence)
+            request.lease.decode_ended(event.attempt, now, status, may_be_unreachable=may_be_unreachable)
         yield from cancel_release_calls(request)
     _record_contact(state, now, attempt, status, event.connection_fault)
     yield from consult_policy(state, now, _policy_event(event, now, request, attempt, status))
     yield from complete_request(state, now, event.request_id)
 
 
-def _was_silent(state: RouterState, now: timedelta, attempt: Attempt) -> bool:
-    """Return whether an attempt has waited for long, and its endpoint has answered nothing else meanwhile."""
-    if now - attempt.opened_at < MIN_SILENCE:
+def _may_be_unreachable(state: RouterState, now: timedelta, attempt: Attempt) -> bool:
+    """Return whether an endpoint may be unreachable, given an attempt to it that is aborted now.
+
+    This is the case if the attempt ran for MIN_UNANSWERED_TIME and the endpoint answered no other call in
+    the meantime."""
+    if now - attempt.opened_at < MIN_UNANSWERED_TIME:
         return False
     contact = state.endpoint_table.last_contacts.get(attempt.endpoint_id)
     return contact is None or not contact.answered or contact.at < attempt.opened_at
@@ -145,7 +155,7 @@
 def _record_metrics(
     state: RouterState, now: timedelta, attempt: Attempt, status: AttemptStatus
 ) -> Iterator[effects.Effect]:
-    """Count the end of an attempt, and log the metrics of an interval that is over."""
+    """Count the end of an attempt, and log the metrics of an interval that has ended."""
     phase = "prefill" if attempt.is_prefill else "decode"
     state.metrics.add(f"{phase}_{status.value}", now - attempt.opened_at)
     fields = state.metrics.end_interval(now)
@@ -156,9 +166,9 @@
 def _record_contact(
     state: RouterState, now: timedelta, attempt: Attempt, status: AttemptStatus, fault: ConnectionFault
 ) -> None:
-    """Record whether the endpoint answered, where the end of an attempt says so.
+    """Record whether an endpoint answered, if the final status of its attempt shows that.
 
-    A connect that failed on the router's own machine says nothing of the endpoint."""
+    A connect that failed on the router's own host shows nothing about the endpoint."""
     failed_locally = status is AttemptStatus.CONNECT_FAILED and fault is ConnectionFault.LOCAL
     if status in ENDPOINT_ANSWERED and not failed_locally:
         state.endpoint_table.record_contact(attempt.endpoint_id, now, answered=ENDPOINT_ANSWERED[status])
@@ -167,7 +177,7 @@
 def _policy_event(
     event: events.AttemptEnded, now: timedelta, request: Request, attempt: Attempt, status: AttemptStatus
 ) -> routing_events.AttemptEnded:
-    """Return the policy's event of an attempt's end."""
+    """Return the event that reports the end of an attempt to the policy."""
     return routing_events.AttemptEnded(
         request_id=event.request_id,
         attempt=event.attempt,
--- a/llm_router/lifecycle/effects.py
+++ b/llm_router/lifecycle/effects.py
@@ -1,6 +1,6 @@
-"""Effects that the reducer returns for the transport to perform.
+"""Effects that the reducer returns and the transport performs.
 
-They are plain data; all times are `timedelta` on the router's clock."""
+An effect is plain data. All times are `timedelta` values on the router's clock."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 class OpenAttempt:
     """Send the request to an endpoint, with the time that remains until `deadline`.
 
-    `connect_timeout` limits the wait for a new connection where KV state cannot wait for it longer; None for
-    no such limit. `write_deadline`: from this time on it may not be written. `awaits_release`: what an
-    earlier attempt left is being released, and this one waits a moment for that."""
+    `connect_timeout` limits the wait for a new connection, so that the KV state does not wait too long; None
+    means no such limit. After `write_deadline` the attempt must not be written. If `awaits_release` is true,
+    KV state of a previous attempt is being released, and this attempt waits briefly for that."""
 
     request_id: str
     attempt: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AbortAttempt:
-    """Close an attempt's connection; the reducer still waits for its AttemptEnded."""
+    """Close the connection of an attempt; the reducer still expects the AttemptEnded event."""
 
     request_id: str
     attempt: int
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Make a reservation at a decode endpoint, once the prefill attempt's last byte is written."""
+    """Make a reservation at a decode endpoint after the last byte of the prefill attempt is written."""
 
     request_id: str
     attempt: int
@@ -48,9 +48,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Call an endpoint to release what is held for a request, at whichever endpoint that is.
+    """Call an endpoint to release the KV state and reservations of a request at all endpoints.
 
-    `accepted_at` and `call_number` come back in the ReleaseCallEnded."""
+    The transport returns `accepted_at` and `call_number` in the ReleaseCallEnded event."""
 
     request_id: str
     accepted_at: timedelta
@@ -60,14 +60,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelReleases:
-    """Cancel the running release calls of a request: what they were for has gone, or is needed once more."""
+    """Cancel the running release calls of a request, because its KV state is freed or needed again."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class FetchLoadReport:
-    """Fetch an endpoint's load report; `endpoint_id` is its number in the policy."""
+    """Fetch the load report of an endpoint; `endpoint_id` is its number in the policy."""
 
     endpoint_id: int
     endpoint: Endpoint
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendRejection:
-    """Final answer: rejected, a retry after `retry_after` is harmless."""
+    """Send the final answer that the request is rejected; the client may safely retry after `retry_after`."""
 
     request_id: str
     retry_after: timedelta
@@ -84,7 +84,9 @@
 
 @dataclass(slots=True, frozen=True)
 class SendFailure:
-    """Final answer: failed, nothing is promised. `id_conflict`: a request with its id may have run before."""
+    """Send the final answer that the request failed; it may have had an effect.
+
+    `id_conflict` is true if an earlier request with the same id may have run."""
 
     request_id: str
     reason: str
@@ -93,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScheduleTimer:
-    """Feed a TimerFired back at a clock time; a timer of the policy's own is a number."""
+    """Feed a TimerFired event to the reducer at the time `at`; the policy's own timers are numbers."""
 
     at: timedelta
     timer: int | LifecycleTimer
@@ -101,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """Write a line to the log; `rate_limited`: at most once a second."""
+    """Write a line to the log; if `rate_limited` is true, at most one line of this name a second."""
 
     name: str
     fields: dict[str, object]
--- a/llm_router/lifecycle/endpoint.py
+++ b/llm_router/lifecycle/endpoint.py
@@ -7,15 +7,15 @@
 
 from llm_router.routing.events import EndpointStatus
 
-NO_START_TIME = timedelta()  # the start of an endpoint that discovery gives no start time for
+NO_START_TIME = timedelta()  # the start time of an endpoint for which discovery gives none
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
     """A model server as discovery lists it.
 
-    `started_at` is by the wall clock of discovery's machine. `address` and `kind` are empty where the entry
-    is malformed there."""
+    `started_at` is on the wall clock of discovery's host. `address` and `kind` are empty if they are
+    malformed in the list entry."""
 
     name: str
     address: str
--- a/llm_router/lifecycle/endpoint_events.py
+++ b/llm_router/lifecycle/endpoint_events.py
@@ -47,7 +47,7 @@
     since_last_answer: timedelta | None,
 ) -> routing_events.EndpointEntry:
     """Update one endpoint in the table, and return its entry for the policy."""
-    started_at = table.start_times.effective(endpoint.name, endpoint.started_at, now, since_last_answer)
+    started_at = table.start_times.effective_start(endpoint.name, endpoint.started_at, now, since_last_answer)
     table.put(number, endpoint)
     if endpoint.status is EndpointStatus.REMOVED:
         table.remove(number, now)
--- a/llm_router/lifecycle/interval_metrics.py
+++ b/llm_router/lifecycle/interval_metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-INTERVAL = timedelta(seconds=5)  # between two lines of the log, at least
+LOG_INTERVAL = timedelta(seconds=5)  # between two lines of the log, at least
 MILLISECOND = timedelta(milliseconds=1)
 
 
@@ -41,7 +41,7 @@
         """Return the log fields of the interval and start the next, None while this one is not over."""
         if self.started_at is None:
             self.started_at = now
-        if now - self.started_at < INTERVAL or not self.counts:
+        if now - self.started_at < LOG_INTERVAL or not self.counts:
             return None
         seconds = round((now - self.started_at).total_seconds(), 1)
         fields: dict[str, object] = {"seconds": seconds, **self.counts}
--- a/llm_router/lifecycle/kv_lease.py
+++ b/llm_router/lifecycle/kv_lease.py
@@ -1,7 +1,7 @@
-"""The KV state and the reservations that endpoints may hold for one request.
+"""The record of the KV state and the reservations that endpoints may hold for one request.
 
-The lease knows every call that may leave something at an endpoint. It ends only with a release that an
-endpoint has acknowledged after the last moment at which something can have come to be held."""
+The lease tracks every call that may create KV state or a reservation at an endpoint. It normally ends when
+an endpoint acknowledges a release that started after the last such call can have arrived."""
 
 from __future__ import annotations
 
@@ -14,41 +14,48 @@
 from llm_router.lifecycle.release_schedule import MILLISECOND, ReleaseSchedule
 from llm_router.routing.events import AttemptStatus
 
-MIN_CONNECT_TIME = 100 * MILLISECOND  # a connection over a busy link still comes up within this
-CLOSE_SETTLE_TIME = 15 * MILLISECOND  # a release waits so long after an abort: most closes arrive before it
-MAX_CLOSE_DELAY = 200 * MILLISECOND  # a close may take this long to its endpoint
-MAX_CLOSE_DELAY_AFTER_SILENCE = timedelta(seconds=3)  # the same to one that seems cut off
-MAX_RESERVATION_DELAY = timedelta(seconds=3)  # an unanswered reservation may arrive so late, after a cut
-MAX_PREFILL_RUN_ON = timedelta(seconds=3)  # a prefill whose connection broke may run on for so long
-
-# After these a prefill may have ended well at its endpoint, whatever its client saw, or may yet: for so long.
+# A connection over a busy link is established within this time.
+MIN_CONNECT_TIME = 100 * MILLISECOND
+# A release waits this long after an abort, because most connection closes reach their endpoint by then.
+CLOSE_SETTLE_TIME = 15 * MILLISECOND
+# The close of a connection reaches a reachable endpoint within this time.
+MAX_CLOSE_DELAY = 200 * MILLISECOND
+# The close of a connection may take this long to reach an endpoint behind a network partition.
+MAX_CLOSE_DELAY_IF_UNREACHABLE = timedelta(seconds=3)
+# An unanswered reservation call may arrive this late, after a network partition.
+MAX_RESERVATION_DELAY = timedelta(seconds=3)
+# A prefill may continue at its endpoint for this long after its connection was reset.
+MAX_PREFILL_TIME_AFTER_RESET = timedelta(seconds=3)
+
+# After an attempt ends with one of these statuses, its prefill may still complete at the endpoint and leave
+# KV state there. The value is how long after the end this can happen.
 LATE_PREFILL_WINDOWS = {
     AttemptStatus.ERROR: MAX_CLOSE_DELAY,
     AttemptStatus.TIMEOUT: MAX_CLOSE_DELAY,
     AttemptStatus.CANCELLED: MAX_CLOSE_DELAY,
-    AttemptStatus.RESET: MAX_PREFILL_RUN_ON,
+    AttemptStatus.RESET: MAX_PREFILL_TIME_AFTER_RESET,
 }
 
 NEVER_ARRIVED = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
 
 
 class LeaseState(Enum):
-    """What is known of a request's KV state and reservations."""
+    """The router's knowledge about the KV state and reservations of one request."""
 
-    EMPTY = auto()  # no call was made that could leave something, or all of it is released
-    AVAILABLE = auto()  # a prefill's KV state waits for a decode attempt to claim it in time
-    ORPHANED = auto()  # something may be held, or come to be, that no attempt will claim
+    EMPTY = auto()  # Endpoints hold no KV state and no reservation that the router knows of.
+    AVAILABLE = auto()  # The KV state of a prefill waits for a decode attempt to claim it.
+    ORPHANED = auto()  # Endpoints may hold KV state or reservations that no attempt will claim.
 
 
 class LeaseChange(Enum):
-    """What happens to a lease."""
+    """A change that moves a lease from one state to another."""
 
-    PREFILLED = auto()  # a prefill has left its KV state
-    LEFT_BEHIND = auto()  # a call may have left something that no attempt will claim
-    ABANDONED = auto()  # no attempt will claim what is held
-    PARTLY_RELEASED = auto()  # all that was held before some moment has gone
-    FULLY_RELEASED = auto()  # nothing can have come to be held since
-    EXPIRED = auto()  # no endpoint acknowledged a release; endpoints free by themselves what is left
+    PREFILLED = auto()  # A prefill has completed, and its KV state waits at the endpoint.
+    RESOURCE_ORPHANED = auto()  # A call may have left KV state or a reservation that no attempt will claim.
+    ABANDONED = auto()  # No attempt will claim the KV state and reservations of the request.
+    PARTLY_RELEASED = auto()  # A release freed the resources older than its start; later ones may exist.
+    FULLY_RELEASED = auto()  # A release freed all resources, and no running call can create more.
+    EXPIRED = auto()  # No endpoint acknowledged the release calls, and the router stops making them.
 
 
 # A state that a change does not list stays as it is.
@@ -57,7 +64,7 @@
         LeaseState.EMPTY: LeaseState.AVAILABLE,
         LeaseState.ORPHANED: LeaseState.AVAILABLE,
     },
-    LeaseChange.LEFT_BEHIND: {
+    LeaseChange.RESOURCE_ORPHANED: {
         LeaseState.EMPTY: LeaseState.ORPHANED,
     },
     LeaseChange.ABANDONED: {
@@ -79,35 +86,41 @@
 
 @dataclass(slots=True)
 class KvLease:
-    """State machine of what may be held for one request, which says when a release is due.
+    """State machine for the KV state and reservations of one request; it decides when a release is due.
 
-    The release time counts from the last outcome or reservation. An attempt whose connection never comes up
-    is no outcome: the time runs on meanwhile. All times are on the router's clock."""
+    The release time starts again at each attempt outcome and each reservation. A failed connect does not
+    restart it. All times are on the router's clock."""
 
     schedule: ReleaseSchedule
     state: LeaseState = LeaseState.EMPTY
-    may_arrive_until: timedelta = timedelta()  # a release that started before this may miss something
-    released_before: timedelta = timedelta()  # all that was held before this has gone
-    orphaned_at: timedelta = timedelta()  # when something was last left that no attempt will claim
-    prefill_may_run_until: timedelta = timedelta()  # until then a prefill whose connection broke may end well
-    pending_reservations: int = 0  # reservation calls that have not ended
-    claims: set[int] = field(default_factory=set)  # running decode attempts: what they wait for stays
+    # KV state or reservations may appear until this time, so a release that starts earlier may miss some.
+    may_arrive_until: timedelta = timedelta()
+    # All KV state and reservations from before this time are freed.
+    released_before: timedelta = timedelta()
+    # The last time at which KV state or reservations were left that no attempt will claim.
+    orphaned_at: timedelta = timedelta()
+    # A prefill whose connection was reset may complete until this time.
+    prefill_may_run_until: timedelta = timedelta()
+    # The number of reservation calls that have not ended.
+    pending_reservations: int = 0
+    # The indexes of running decode attempts; a release does not free the KV state that they wait for.
+    claims: set[int] = field(default_factory=set)
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is held, and no call is out that could leave something."""
+        """Whether endpoints hold no KV state and no reservation, and no reservation call is running."""
         return self.state is LeaseState.EMPTY and not self.pending_reservations
 
     @property
     def is_release_unconfirmed(self) -> bool:
-        """Whether something may be held of which no endpoint has acknowledged a release yet."""
+        """Whether orphaned KV state or reservations may exist that no acknowledged release has freed."""
         return self.state is LeaseState.ORPHANED and self.released_before <= self.orphaned_at
 
     def connect_timeout(self, now: timedelta) -> timedelta | None:
-        """Return how long a decode attempt may wait for its connection, None for no limit by the lease.
+        """Return how long a decode attempt may wait for its connection, or None if the lease sets no limit.
 
-        It is half of the time that is left, so that a second endpoint can be tried before the KV state must
-        be released."""
+        The limit is half of the time until the KV state must be released, so that a second endpoint can be
+        tried after the first."""
         release_at = self.schedule.release_at
         if self.state is not LeaseState.AVAILABLE or release_at is None:
             return None
@@ -115,12 +128,16 @@
         return min(remaining, max(remaining / 2, MIN_CONNECT_TIME))
 
     def prefill_written(self, now: timedelta) -> None:
-        """Record that a prefill may have reached its endpoint: reservations for it are made from now on."""
+        """Record that a prefill attempt was written, so that its reservation calls may be written too."""
         if self.pending_reservations:
-            self.schedule.release_once_overdue(now)
+            self.schedule.plan_overdue_release(now)
+
+    def prefill_ended(
+        self, now: timedelta, status: AttemptStatus, *, may_be_unreachable: bool = False
+    ) -> None:
+        """Record the end of a prefill attempt that was written.
 
-    def prefill_ended(self, now: timedelta, status: AttemptStatus, *, after_silence: bool = False) -> None:
-        """Record the end of a prefill attempt that was written; `after_silence` as in `decode_ended`."""
+        `may_be_unreachable` has the same meaning as in `decode_ended`."""
         if status is AttemptStatus.PREFILLED:
             self._change(LeaseChange.PREFILLED)
             self.schedule.calls = None
@@ -128,44 +145,47 @@
             self.may_arrive_until = max(self.may_arrive_until, now)
             self.schedule.release_at = self.schedule.claim_deadline(now)
         elif status in LATE_PREFILL_WINDOWS:
-            window = MAX_CLOSE_DELAY_AFTER_SILENCE if after_silence else LATE_PREFILL_WINDOWS[status]
-            self._leave_behind(now, now + window)
+            window = MAX_CLOSE_DELAY_IF_UNREACHABLE if may_be_unreachable else LATE_PREFILL_WINDOWS[status]
+            self._record_orphaned_resources(now, now + window)
             if status is AttemptStatus.RESET:
-                self.prefill_may_run_until = now + MAX_PREFILL_RUN_ON
+                self.prefill_may_run_until = now + MAX_PREFILL_TIME_AFTER_RESET
             if self.state is LeaseState.ORPHANED:
-                self.schedule.release_at = now + CLOSE_SETTLE_TIME  # the time counts anew from this outcome
+                # This outcome restarts the release time.
+                self.schedule.release_at = now + CLOSE_SETTLE_TIME
 
     def decode_ended(
-        self, attempt: int, now: timedelta, status: AttemptStatus, *, after_silence: bool = False
+        self, attempt: int, now: timedelta, status: AttemptStatus, *, may_be_unreachable: bool = False
     ) -> None:
-        """Record the end of a written decode attempt that has not claimed the KV state.
+        """Record the end of a decode attempt that was written and produced no response.
 
-        The KV state waits for another attempt, or it must be released now. The endpoint may learn later that
-        the attempt was aborted, and till then a release passes the KV state by. `after_silence`: it was
-        aborted, and nothing has come from the endpoint since the attempt began: it may be cut off."""
+        Available KV state is kept for another attempt; otherwise a release is planned. An endpoint that has
+        not yet seen the abort still protects the KV state from release calls. `may_be_unreachable` means
+        that the attempt was aborted and its endpoint has answered no request since the attempt began."""
         self.claims.discard(attempt)
         if status in NEVER_ARRIVED:
-            self._finish_if_released()  # it waited for nothing
+            # The attempt did not reach its endpoint, so its claim no longer keeps the lease open.
+            self._finish_if_released()
             return
         if self.is_finished:
             return
-        close_delay = MAX_CLOSE_DELAY_AFTER_SILENCE if after_silence else MAX_CLOSE_DELAY
+        close_delay = MAX_CLOSE_DELAY_IF_UNREACHABLE if may_be_unreachable else MAX_CLOSE_DELAY
         closed_by = now + close_delay if status in LATE_PREFILL_WINDOWS else now
         if self.state is LeaseState.AVAILABLE:
-            self.schedule.calls = None  # it would take the KV state from the next attempt
+            # A running release would free the KV state that the next attempt needs.
+            self.schedule.calls = None
             self.schedule.release_at = self.schedule.claim_deadline(now)
             self.may_arrive_until = max(self.may_arrive_until, closed_by)
         else:
-            self._leave_behind(now + CLOSE_SETTLE_TIME, closed_by)
+            self._record_orphaned_resources(now + CLOSE_SETTLE_TIME, closed_by)
 
     def reservation_sent(self, now: timedelta, *, prefill_written: bool) -> None:
-        """Record that a reservation call has started; it is made once its prefill is written."""
+        """Record that a reservation call has started; the call is written only after its prefill."""
         self.pending_reservations += 1
         if prefill_written:
-            self.schedule.release_once_overdue(now)
+            self.schedule.plan_overdue_release(now)
 
     def reservation_ended(self, now: timedelta, outcome: ReservationOutcome) -> None:
-        """Record the end of a reservation call; what it may have left is released at the next occasion."""
+        """Record the end of a reservation call, and plan a release if it may have made a reservation."""
         self.pending_reservations -= 1
         if outcome in (ReservationOutcome.REJECTED, ReservationOutcome.NOT_MADE):
             self._finish_if_released()
@@ -173,37 +193,37 @@
                 self.schedule.clear()
         else:
             unanswered = outcome is ReservationOutcome.UNANSWERED
-            self._leave_behind(now, now + (MAX_RESERVATION_DELAY if unanswered else timedelta()))
+            self._record_orphaned_resources(now, now + (MAX_RESERVATION_DELAY if unanswered else timedelta()))
 
     def attempt_missing(self, now: timedelta) -> None:
-        """Record that a running prefill has not arrived: a reservation for it waits in vain."""
+        """Record that a running prefill has not arrived, so that no attempt will claim its reservations."""
         if self.pending_reservations:
-            self._leave_behind(now, now)
+            self._record_orphaned_resources(now, now)
 
     def abandon(self, now: timedelta) -> None:
-        """Record that no attempt will claim what is held: a release is due."""
+        """Record that no attempt will claim the KV state and reservations, and plan their release."""
         if self.is_finished:
             return
         self._change(LeaseChange.ABANDONED)
         self.orphaned_at = now
-        self.schedule.overdue_from(now)
+        self.schedule.advance_overdue_at(now)
         self.schedule.release_by(now + CLOSE_SETTLE_TIME if now < self.may_arrive_until else now)
 
     def response_started(self, now: timedelta) -> None:
-        """Record that the response has started: all that was held went with it.
+        """Record that a response has started, which frees the KV state and reservations of its request.
 
-        What came to be held a moment later, by a call that was still out, is left behind."""
+        Reservation calls that are still running may make reservations afterwards; a release frees those."""
         self.schedule.calls = None
         self.claims.clear()
         self._released(now)
 
     def release_started(self, calls: ReleaseCalls) -> None:
-        """Record that a release is being made of all that is held."""
+        """Record that a release of all KV state and reservations has started."""
         self._change(LeaseChange.ABANDONED)
         self.schedule.start(calls)
 
     def release_acknowledged(self, started_at: timedelta) -> None:
-        """Record that an endpoint has acknowledged a release: all that was held before its start has gone."""
+        """Record that an endpoint acknowledged a release, which freed all resources older than its start."""
         self.schedule.calls = None
         if self.state is LeaseState.AVAILABLE:
             self.released_before = max(self.released_before, started_at)
@@ -212,52 +232,58 @@
             self._released(started_at)
 
     def release_expired(self) -> None:
-        """Give up: no endpoint has acknowledged a release for long; they free by themselves what is left."""
+        """End the lease although no endpoint acknowledged a release.
+
+        By now the endpoints have freed the remaining KV state and reservations on their own."""
         self._change(LeaseChange.EXPIRED)
         self.schedule.calls = None
         self.schedule.clear()
 
     def _change(self, change: LeaseChange) -> None:
-        """Enter the state that follows a change."""
+        """Move the lease to the state that LEASE_TRANSITIONS gives for a change."""
         self.state = LEASE_TRANSITIONS[change].get(self.state, self.state)
 
-    def _leave_behind(self, release_at: timedelta, may_arrive_until: timedelta) -> None:
-        """Record that something may be held, or come to be held until a time, that no attempt will claim."""
+    def _record_orphaned_resources(self, release_at: timedelta, may_arrive_until: timedelta) -> None:
+        """Record that KV state or reservations may exist, or may appear later, that no attempt will claim.
+
+        Resources may appear until `may_arrive_until`. Plan a release at `release_at`, unless KV state is
+        available to a decode attempt."""
         self.may_arrive_until = max(self.may_arrive_until, may_arrive_until)
         self.orphaned_at = max(self.orphaned_at, release_at)
-        self.schedule.overdue_from(release_at)
+        self.schedule.advance_overdue_at(release_at)
         if self.state is not LeaseState.AVAILABLE:
-            self._change(LeaseChange.LEFT_BEHIND)
+            self._change(LeaseChange.RESOURCE_ORPHANED)
             self.schedule.release_by(release_at)
 
     def _released(self, moment: timedelta) -> None:
-        """Record that all that was held before a moment has gone; plan for what may still come."""
+        """Record that resources older than `moment` are freed, and plan a release of later ones."""
         self.released_before = max(self.released_before, moment)
         self._change(LeaseChange.PARTLY_RELEASED)
         self._plan_next_release(moment)
         self._finish_if_released()
 
     def _plan_next_release(self, moment: timedelta) -> None:
-        """Plan the release after one that started at a moment, for what may still come to be held.
+        """Plan another release if resources may appear after the release that started at `moment`.
 
-        None is due for what a decode attempt waits for, before its end."""
-        if self._more_may_arrive:
+        Otherwise cancel the planned release. KV state that a decode attempt has claimed is released only
+        after that attempt ends."""
+        if self._resources_may_appear:
             self.schedule.plan_after(moment)
         else:
             self.schedule.clear()
 
     @property
-    def _more_may_arrive(self) -> bool:
-        """Whether something may have come to be held since the last release, or may yet."""
+    def _resources_may_appear(self) -> bool:
+        """Whether KV state or reservations may have appeared since the last release, or may still appear."""
         return bool(self.pending_reservations) or self.released_before < self.may_arrive_until
 
     def _finish_if_released(self) -> None:
-        """Empty an orphaned lease once a release has freed all that can have come to be held.
+        """Set an orphaned lease to empty once a release has freed every resource that can exist.
 
-        A release frees nothing that a decode attempt waits for: its acknowledgement proves nothing while one
-        runs."""
+        While a decode attempt has a claim, the lease stays orphaned. A release does not free claimed KV
+        state, so its acknowledgement does not prove that the KV state is gone."""
         if self.state is not LeaseState.ORPHANED or self.schedule.calls is not None or self.claims:
             return
-        if not self._more_may_arrive:
+        if not self._resources_may_appear:
             self._change(LeaseChange.FULLY_RELEASED)
             self.schedule.clear()
--- a/llm_router/lifecycle/release_calls.py
+++ b/llm_router/lifecycle/release_calls.py
@@ -1,4 +1,4 @@
-"""The calls of one release, made in rounds until an endpoint acknowledges one."""
+"""The release calls of one release, which are made in rounds until an endpoint acknowledges one."""
 
 from __future__ import annotations
 
@@ -9,18 +9,26 @@
 
 from llm_router.lifecycle.endpoint import Endpoint
 
-CALLS_PER_ROUND = (1, 2, 4, 4, 4)  # calls of each of the first rounds; each further round makes one
-ROUND_INTERVAL = timedelta(milliseconds=70)  # after one of the first rounds, other endpoints are called too
-LATER_ROUND_INTERVAL = timedelta(milliseconds=250)  # the same once the first rounds are over
-STALLED_ROUNDS = 25  # after these, some five seconds, endpoints are called less often
+# Number of release calls in each of the first rounds. Each later round makes one call.
+CALLS_PER_ROUND = (1, 2, 4, 4, 4)
+# Time between the first rounds, after which the next endpoints are called too.
+ROUND_INTERVAL = timedelta(milliseconds=70)
+# Time between later rounds.
+LATER_ROUND_INTERVAL = timedelta(milliseconds=250)
+# After this many rounds, about five seconds, a release has stalled and its rounds become less frequent.
+STALLED_ROUNDS = 25
+# Time between the rounds of a stalled release.
 STALLED_ROUND_INTERVAL = timedelta(milliseconds=500)
-MAX_FOLLOW_UPS = 8  # calls in a row within a round, each in place of one that has failed
-MAX_DURATION = timedelta(seconds=60)  # longer than a machine is cut off: endpoints free what is left by then
+# Maximum number of calls in one round that replace failed calls.
+MAX_REPLACEMENT_CALLS = 8
+# A release ends after this time. It is longer than a network partition, and endpoints free the remaining KV
+# state and reservations on their own by then.
+MAX_DURATION = timedelta(seconds=60)
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseCall:
-    """A call that has not ended."""
+    """A release call that has not ended."""
 
     endpoint: Endpoint
     started_at: timedelta
@@ -28,33 +36,35 @@
 
 @dataclass(slots=True)
 class ReleaseCalls:
-    """Which endpoints were called for a release, and which come next.
+    """The state of one release: the running calls, and the endpoints to call next.
 
-    Several are called as some may be silent, refuse connections, or be out of reach for a while."""
+    Several endpoints are called because some may not answer, refuse connections, or be unreachable."""
 
     started_at: timedelta
     next_round_at: timedelta
     rounds: int = 0
-    remaining: deque[Endpoint] = field(default_factory=deque)  # not yet called in this pass
-    running: dict[int, ReleaseCall] = field(default_factory=dict)  # by call number
-    follow_ups_left: int = MAX_FOLLOW_UPS  # in this round
+    remaining: deque[Endpoint] = field(default_factory=deque)  # endpoints that this pass has not called yet
+    running: dict[int, ReleaseCall] = field(default_factory=dict)  # running calls by call number
+    replacement_calls_left: int = (
+        MAX_REPLACEMENT_CALLS  # calls that may still replace a failed call in this round
+    )
 
     @classmethod
-    def beginning(cls, now: timedelta) -> ReleaseCalls:
-        """Return a release whose first round is due now."""
+    def starting_at(cls, now: timedelta) -> ReleaseCalls:
+        """Return a new release whose first round is due now."""
         return cls(now, now)
 
     @property
     def has_stalled(self) -> bool:
-        """Whether nobody has acknowledged the release for so long that the rounds become rare from now on."""
+        """Whether the release has made so many rounds that the next ones are less frequent."""
         return self.rounds == STALLED_ROUNDS
 
     def has_expired(self, now: timedelta) -> bool:
-        """Return whether nobody has acknowledged the release for so long that it is in vain."""
+        """Return whether the release has exceeded its maximum duration without an acknowledgement."""
         return now - self.started_at > MAX_DURATION
 
     def restart(self, moment: timedelta) -> None:
-        """Begin anew with the first round, at a time: the calls before may have come too early to succeed."""
+        """Restart with the first round at a given time; earlier calls may have come too early to succeed."""
         self.started_at = moment
         self.next_round_at = min(self.next_round_at, moment)
         self.rounds = 0
@@ -62,35 +72,36 @@
     def start_round(
         self, now: timedelta, order: Sequence[Endpoint], first_number: int
     ) -> dict[int, ReleaseCall]:
-        """Start the calls of the next round and return them by number, counted up from `first_number`.
+        """Start the release calls of the next round and return them by call number.
 
-        `order` is the endpoints to call, used if all of the pass before were called."""
+        The numbers count up from `first_number`. If the current pass has called all of its endpoints, a new
+        pass over the endpoints in `order` begins."""
         count = CALLS_PER_ROUND[self.rounds] if self.rounds < len(CALLS_PER_ROUND) else 1
         self.next_round_at = now + self._round_interval()
         self.rounds += 1
-        self.follow_ups_left = MAX_FOLLOW_UPS
+        self.replacement_calls_left = MAX_REPLACEMENT_CALLS
         if not self.remaining:
             self.remaining.extend(order)
         return self._start_calls(now, count, first_number)
 
-    def follow_up(self, now: timedelta, number: int) -> dict[int, ReleaseCall]:
-        """Start a call in place of one that has failed, and return it by its number; there may be none.
+    def start_replacement_call(self, now: timedelta, number: int) -> dict[int, ReleaseCall]:
+        """Start a release call that replaces a failed one, and return it by its call number.
 
-        There is none while another is running, nor beyond a limit in each round: it would be a flood of
-        calls where all endpoints refuse, or no socket is left."""
-        if self.running or not self.follow_ups_left:
+        Return an empty dict while another call runs, or when the limit of the round is used up. Without the
+        limit, calls would flood the network if all endpoints refuse them or no socket is free."""
+        if self.running or not self.replacement_calls_left:
             return {}
-        self.follow_ups_left -= 1
+        self.replacement_calls_left -= 1
         return self._start_calls(now, 1, number)
 
     def _round_interval(self) -> timedelta:
-        """Return how long after the round that starts now the next one follows."""
+        """Return the time from the round that starts now to the next round."""
         if self.rounds < len(CALLS_PER_ROUND):
             return ROUND_INTERVAL
         return LATER_ROUND_INTERVAL if self.rounds < STALLED_ROUNDS else STALLED_ROUND_INTERVAL
 
     def _start_calls(self, now: timedelta, count: int, first_number: int) -> dict[int, ReleaseCall]:
-        """Start calls to the endpoints that come next in this pass."""
+        """Start release calls to the next endpoints of the current pass, at most `count`."""
         started: dict[int, ReleaseCall] = {}
         for number in range(first_number, first_number + min(count, len(self.remaining))):
             started[number] = ReleaseCall(self.remaining.popleft(), now)
--- a/llm_router/lifecycle/release_order.py
+++ b/llm_router/lifecycle/release_order.py
@@ -1,4 +1,4 @@
-"""The order in which endpoints are called to release what is held for a request."""
+"""The order in which endpoints receive the release calls of a request."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 from llm_router.lifecycle.request import Request
 from llm_router.lifecycle.state import RouterState
 
-MAX_ENDPOINTS = 64  # that one pass goes through: of a large fleet an even spread
+# Maximum number of endpoints that one pass of a release calls, spread evenly over a large fleet. Endpoints
+# that took part in the request come on top.
+MAX_ENDPOINTS = 64
 
 
 class ContactRank(IntEnum):
-    """What the last contact with an endpoint promises, best first."""
+    """How likely an endpoint is to answer a release call, from its last contact; lower values come first."""
 
     ANSWERED = 0
     UNKNOWN = 1
@@ -25,39 +27,43 @@
 
 
 def release_order(state: RouterState, request: Request) -> tuple[Endpoint, ...]:
-    """Return the endpoint that answered last, then the others with the zones taking turns.
+    """Return the endpoints to call for a release, the one with the latest answer first.
 
-    Any endpoint takes a release. The zones take turns as one may be cut off: all endpoints that took part
-    in a request may be in it, and so may all that come first in the list. The endpoints that just failed
-    come last, and behind them those that took part and are no longer listed: they are all that is left when
-    a list has become empty."""
+    Any endpoint accepts a release call for any request. The other endpoints alternate between zones, because
+    a network partition may cut off one zone with all endpoints that took part in the request. Endpoints that
+    failed last come at the end of their zone. Endpoints that took part in the request but are not listed now
+    come last; if the endpoint list is empty, they are the only ones to call."""
     by_contact = sorted(
         _candidates(state, request),
         key=lambda number: _contact_key(state.endpoint_table.last_contacts.get(number)),
     )
     listed = [state.endpoints[number] for number in by_contact]
     unlisted = (each.endpoint for each in request.attempts if each.endpoint_id not in state.endpoints)
-    ordered = (*_by_turns_of_zones(listed, state.settings.zone), *unlisted)
+    ordered = (*_interleave_zones(listed, state.settings.zone), *unlisted)
     return tuple(dict.fromkeys(endpoint for endpoint in ordered if endpoint is not None))
 
 
 def _candidates(state: RouterState, request: Request) -> Iterator[int]:
-    """Yield the numbers of listed endpoints, first those that took part in the request, latest first."""
-    start = crc32(request.request_id.encode())  # lest all routers call the same one
+    """Yield the numbers of listed endpoints to call for a release.
+
+    Endpoints that took part in the request come first, in reverse order of its attempts."""
+    # The start differs between requests, so that the routers do not all call the same endpoint first.
+    start = crc32(request.request_id.encode())
     others = state.endpoint_table.listed.spread(MAX_ENDPOINTS, start)
-    cut = start % max(1, len(others))
+    offset = start % max(1, len(others))
     involved = [attempt.endpoint_id for attempt in reversed(request.attempts)]
     if request.reservation_endpoint_id is not None:
         involved.append(request.reservation_endpoint_id)
-    for number in dict.fromkeys([*involved, *others[cut:], *others[:cut]]):
+    for number in dict.fromkeys([*involved, *others[offset:], *others[:offset]]):
         if number in state.endpoints:
             yield number
 
 
-def _by_turns_of_zones(endpoints: list[Endpoint], own_zone: str | None) -> Iterable[Endpoint | None]:
-    """Return endpoints with their zones taking turns; None stands where a zone has no more.
+def _interleave_zones(endpoints: list[Endpoint], own_zone: str | None) -> Iterable[Endpoint | None]:
+    """Return the endpoints in an order that alternates between zones.
 
-    The zone of the first endpoint begins, and the router's own comes second."""
+    The zone of the first endpoint comes first and the router's own zone second. None takes the place of an
+    endpoint where a zone has fewer endpoints than others."""
     zones: dict[str | None, list[Endpoint]] = {endpoint.zone: [] for endpoint in endpoints[:1]}
     zones.setdefault(own_zone, [])
     for endpoint in endpoints:
--- a/llm_router/lifecycle/releases.py
+++ b/llm_router/lifecycle/releases.py
@@ -1,4 +1,4 @@
-"""Make the release of what is held for a request when it is due, until an endpoint acknowledges it."""
+"""Release the KV state and reservations of a request with calls until an endpoint acknowledges one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def advance_release(state: RouterState, now: timedelta, request: Request) -> Iterator[effects.Effect]:
-    """Start a release that is due, or the next round of calls of one, if releases may be made."""
+    """Start a release that is due, or the next round of a running one, unless a running prefill delays it."""
     if not request.may_release(now):
         yield from schedule_release(now, request)
         return
@@ -29,23 +29,24 @@
 
 
 def _start_release(now: timedelta, request: Request) -> Iterator[effects.Effect]:
-    """Start a release; attempts to claim the KV state that are still connecting are too late for it.
+    """Start a release of the KV state and reservations of a request.
 
-    A decode attempt that waits for the KV state keeps it. If the attempt never arrived, the KV state must go
-    in time."""
+    Decode attempts that are still connecting are aborted, because the release frees the KV state. If a decode
+    attempt was written, it keeps its claim: the release frees the KV state only if the attempt never arrived
+    at its endpoint."""
     lease = request.lease
     if lease.state is LeaseState.AVAILABLE and request.has_running_decode:
-        lease.schedule.start(ReleaseCalls.beginning(now))
+        lease.schedule.start(ReleaseCalls.starting_at(now))
         return
     if lease.state is LeaseState.AVAILABLE:
         yield from request.abort_all_attempts(AttemptStatus.CONNECT_FAILED)
-    lease.release_started(ReleaseCalls.beginning(now))
+    lease.release_started(ReleaseCalls.starting_at(now))
 
 
 def _start_round(
     state: RouterState, now: timedelta, request: Request, calls: ReleaseCalls
 ) -> Iterator[effects.Effect]:
-    """Make the next round of calls, or give the release up once it is in vain."""
+    """Start the next round of release calls, or end the release if it has expired."""
     fields: dict[str, object] = {"request": request.request_id, "rounds": calls.rounds}
     if calls.has_expired(now) and not request.has_running_attempt:
         yield effects.LogEvent("release_expired", fields, rate_limited=True)
@@ -63,7 +64,7 @@
 def _release_effects(
     now: timedelta, request: Request, calls: dict[int, ReleaseCall]
 ) -> Iterator[effects.Effect]:
-    """Yield the effects that make release calls."""
+    """Yield the effects that make the given release calls, and number and record the calls."""
     request.release_call_count += len(calls)
     for number, call in calls.items():
         request.history.record(now, "release", call.endpoint.name)
@@ -71,15 +72,15 @@
 
 
 def cancel_release_calls(request: Request) -> Iterator[effects.Effect]:
-    """Cancel the calls of a release that is no longer being made."""
+    """Cancel the running release calls of a request that has no release any more."""
     if request.release_call_count and request.lease.schedule.calls is None:
         yield effects.CancelReleases(request.request_id)
 
 
 def schedule_release(now: timedelta, request: Request) -> Iterator[effects.Effect]:
-    """Set a timer for the next release or round of calls, unless one is set that fires no later.
+    """Set a timer for the next release or round, unless a timer that fires as early is set.
 
-    One that a running prefill holds back is made once it is overdue."""
+    If a running prefill delays the release, the timer fires when the release is overdue."""
     fires_at = request.lease.schedule.next_at
     if fires_at is not None and not request.may_release(now):
         overdue_at = request.lease.schedule.overdue_at
@@ -94,7 +95,7 @@
 def record_release_answer(
     state: RouterState, now: timedelta, request: Request, event: events.ReleaseCallEnded
 ) -> Iterator[effects.Effect]:
-    """Record what came of a release call; where the endpoint did not acknowledge it, call the next one."""
+    """Record the result of a release call; if it was not acknowledged, call the next endpoint."""
     calls = request.lease.schedule.calls
     call = None if calls is None else calls.running.pop(event.call_number, None)
     if calls is None or call is None:
@@ -109,4 +110,6 @@
         request.lease.release_acknowledged(call.started_at)
         yield from cancel_release_calls(request)
     elif request.may_release(now):
-        yield from _release_effects(now, request, calls.follow_up(now, request.release_call_count))
+        yield from _release_effects(
+            now, request, calls.start_replacement_call(now, request.release_call_count)
+        )
--- a/llm_router/lifecycle/request_events.py
+++ b/llm_router/lifecycle/request_events.py
@@ -27,7 +27,7 @@
     state: RouterState, now: timedelta, event: events.RequestReceived
 ) -> Iterator[effects.Effect]:
     """Accept a request, unless its id is in use or may have run."""
-    refusal = _refusal(state, now, event)
+    refusal = _immediate_answer(state, now, event)
     if refusal is not None:
         yield refusal
         return
@@ -42,7 +42,7 @@
     yield from complete_request(state, now, event.request_id)
 
 
-def _refusal(
+def _immediate_answer(
     state: RouterState, now: timedelta, event: events.RequestReceived
 ) -> effects.SendRejection | effects.SendFailure | None:
     """Return the answer to a request that cannot be accepted, None if it can."""
--- a/llm_router/lifecycle/reservation_events.py
+++ b/llm_router/lifecycle/reservation_events.py
@@ -58,9 +58,9 @@
     The reservation call may have overtaken the prefill, so it is made once more. The second time, the
     prefill counts as missing unless it is answered within a grace time."""
     attempt = request.attempts[index]
-    if not attempt.is_running or attempt.arrival.is_settled:
+    if not attempt.is_running or attempt.arrival.is_known:
         return
-    if attempt.arrival is Arrival.DOUBTED:
+    if attempt.arrival is Arrival.SUSPECTED_MISSING:
         arrival_timeout = events.ArrivalTimer(request.request_id, request.accepted_at, index)
         yield effects.ScheduleTimer(now + ARRIVAL_GRACE, arrival_timeout)
         return
@@ -69,7 +69,7 @@
     endpoint = state.endpoints.get(request.reservation_endpoint_id)
     if endpoint is None or reservation_denial(state, request, index, endpoint.name) is not None:
         return
-    attempt.arrival = Arrival.DOUBTED
+    attempt.arrival = Arrival.SUSPECTED_MISSING
     request.lease.reservation_sent(now, prefill_written=attempt.was_written)
     yield effects.Reserve(request.request_id, index, endpoint)
 
--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -1,7 +1,7 @@
 """From when an endpoint's present start counts, on the reducer's clock.
 
 Discovery reports start times by the wall clock of another machine. Slow start is a span of real time, so a
-reported start is believed only as far as it fits what could have been known of it here."""
+reported start is plausible only as far as it fits what could have been known of it here."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """A start as discovery reported it, and the clock time from which it counts."""
 
     reported: timedelta
-    effective: timedelta
+    effective_start: timedelta
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,11 +37,11 @@
 class StartTimes:
     """The starts of the listed endpoints, kept a while longer for those that were listed."""
 
-    max_list_delay: timedelta = timedelta()  # a start so long before the last answer is still believed
+    max_list_delay: timedelta = timedelta()  # a start so long before the last answer is still plausible
     listed: dict[str, StartTime] = field(default_factory=dict)
     removed: dict[str, RemovedStartTime] = field(default_factory=dict)  # oldest first
 
-    def effective(
+    def effective_start(
         self, name: str, reported: timedelta, now: timedelta, since_last_answer: timedelta | None
     ) -> timedelta:
         """Record a reported start, and return the clock time from which it counts.
@@ -55,9 +55,9 @@
             return NO_START_TIME
         start = self.listed.get(name) or self._restore(name)
         if start is None or start.reported != reported:
-            start = StartTime(reported, self._bounded(reported, now, since_last_answer, start))
+            start = StartTime(reported, self._plausible_start(reported, now, since_last_answer, start))
         self.listed[name] = start
-        return start.effective
+        return start.effective_start
 
     def remove(self, name: str, now: timedelta) -> None:
         """Record that an endpoint is no longer listed; it may come back with the same start."""
@@ -75,7 +75,7 @@
         removed = self.removed.pop(name, None)
         return None if removed is None else removed.start
 
-    def _bounded(
+    def _plausible_start(
         self,
         reported: timedelta,
         now: timedelta,
@@ -83,12 +83,12 @@
         previous: StartTime | None,
     ) -> timedelta:
         """Return a reported start within what can be true: not in the future, not before the previous one."""
-        believed = reported
+        plausible = reported
         if since_last_answer is not None and reported < now - since_last_answer - self.max_list_delay:
-            believed = now - since_last_answer
+            plausible = now - since_last_answer
         if previous is not None:
-            believed = max(believed, previous.effective + timedelta.resolution)
-        return min(believed, now)
+            plausible = max(plausible, previous.effective_start + timedelta.resolution)
+        return min(plausible, now)
 
 
 def parse_start_time(unix_milliseconds: object) -> timedelta:
--- a/tests/lifecycle/test_kv_lease_state.py
+++ b/tests/lifecycle/test_kv_lease_state.py
@@ -5,7 +5,7 @@
 import pytest
 from reducer_harness import MILLISECOND, SECOND
 
-from llm_router.lifecycle.kv_lease import MAX_PREFILL_RUN_ON, KvLease, LeaseState
+from llm_router.lifecycle.kv_lease import MAX_PREFILL_TIME_AFTER_RESET, KvLease, LeaseState
 from llm_router.lifecycle.release_calls import ReleaseCalls
 from llm_router.lifecycle.release_schedule import ReleaseSchedule
 from llm_router.routing.events import AttemptStatus
@@ -40,12 +40,12 @@
 def test_a_prefill_that_may_have_succeeded_must_be_released(lease, status, state):
     lease.prefill_ended(SECOND, status)
     assert lease.state is state
-    lease.release_started(ReleaseCalls.beginning(SECOND))
+    lease.release_started(ReleaseCalls.starting_at(SECOND))
     assert not lease.is_finished and lease.schedule.release_at is None
     lease.release_acknowledged(SECOND)
     assert lease.is_finished is (status is AttemptStatus.PREFILLED), "what was cut off may show up later"
-    lease.release_started(ReleaseCalls.beginning(SECOND))
-    lease.release_acknowledged(SECOND + MAX_PREFILL_RUN_ON)
+    lease.release_started(ReleaseCalls.starting_at(SECOND))
+    lease.release_acknowledged(SECOND + MAX_PREFILL_TIME_AFTER_RESET)
     assert lease.is_finished
 
 
--- a/tests/lifecycle/test_lease_releases.py
+++ b/tests/lifecycle/test_lease_releases.py
@@ -9,7 +9,7 @@
 from llm_router.lifecycle import effects, events
 from llm_router.lifecycle.events import ReservationOutcome
 from llm_router.lifecycle.reducer import reduce
-from llm_router.lifecycle.release_calls import MAX_FOLLOW_UPS
+from llm_router.lifecycle.release_calls import MAX_REPLACEMENT_CALLS
 from llm_router.lifecycle.release_order import release_order
 from llm_router.routing import actions as routing_actions
 from llm_router.routing.events import AttemptStatus, EndpointStatus
@@ -115,7 +115,7 @@
         called.add(calls[0].endpoint.name)
         lifecycle.end_release_call(calls[0], acknowledged=False)
         calls = lifecycle.effects_of(effects.Release)
-    assert len(called) == 1 + MAX_FOLLOW_UPS
+    assert len(called) == 1 + MAX_REPLACEMENT_CALLS
     assert {each.endpoint.name for each in lifecycle.next_release()}.isdisjoint(called)
 
 
--- a/tests/support/kv_lease_model.py
+++ b/tests/support/kv_lease_model.py
@@ -44,7 +44,7 @@
     connects: bool = True  # or connections never come up
     duration: int = 20  # of a prefill, or till the first token
     failure: AttemptStatus | None = None  # how an attempt ends, None for well
-    run_on: int = 0  # after a reset the prefill runs on for so long, and ends well
+    prefill_time_after_reset: int = 0  # after a reset the prefill runs on for so long, and ends well
     hangs: bool = False  # it takes what comes, and never answers an attempt
     loses_writes: bool = False  # what is written to it never arrives
     reads_nothing: bool = False  # its machine acknowledges what is written, and no process reads it
@@ -283,9 +283,12 @@
         """Let a prefill's end arrive. One whose connection broke may run on, unless it was aborted before.
 
         The state of a prefill that was aborted goes by itself, but for one that has just ended."""
-        if key in self.running and status is AttemptStatus.RESET and behaviour.run_on:
+        if key in self.running and status is AttemptStatus.RESET and behaviour.prefill_time_after_reset:
             kv_state = f"state at {attempt.endpoint_name}"
-            self.after(behaviour.run_on, lambda: self.change(key[0], restarts_time=True, adds=kv_state))
+            self.after(
+                behaviour.prefill_time_after_reset,
+                lambda: self.change(key[0], restarts_time=True, adds=kv_state),
+            )
         self.end_attempt(key, status)
 
     def start_decode(self, key: AttemptKey, attempt: EndpointAttempt, behaviour: EndpointBehaviour) -> None:
