--- a/llm_router/lifecycle/__init__.py
+++ b/llm_router/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The life cycle of requests, attempts, KV leases and endpoints, with no I/O and no wire format."""
+"""The lifecycle of requests, attempts, KV leases and endpoints, without I/O and wire formats."""
--- a/llm_router/lifecycle/endpoint_events.py
+++ b/llm_router/lifecycle/endpoint_events.py
@@ -1,4 +1,4 @@
-"""Handlers of the events about endpoints."""
+"""Handlers of endpoint lists and load reports."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 def on_endpoint_list_received(
     state: RouterState, now: timedelta, event: events.EndpointListReceived
 ) -> Iterator[effects.Effect]:
-    """Update the listed endpoints, at a cost that grows with the entries received, not with the fleet."""
+    """Update the endpoint table from an endpoint list, and report the list to the policy.
+
+    For a list of changes, the cost depends on the entries received and not on the size of the fleet."""
     received = _numbered_entries(state.endpoint_table, event)
     if event.is_full:
         for number in set(state.endpoints) - set(received):
@@ -34,7 +36,7 @@
 
 
 def _numbered_entries(table: EndpointTable, event: events.EndpointListReceived) -> dict[int, Endpoint]:
-    """Return the usable entries of a list by their numbers."""
+    """Return the usable entries of an endpoint list by the numbers of the endpoints."""
     completed = [table.complete(entry) for entry in event.endpoints]
     return {table.numbering.assign(entry.name): entry for entry in completed if entry is not None}
 
@@ -46,7 +48,7 @@
     endpoint: Endpoint,
     since_last_answer: timedelta | None,
 ) -> routing_events.EndpointEntry:
-    """Update one endpoint in the table, and return its entry for the policy."""
+    """Update one endpoint in the endpoint table, and return its entry for the policy."""
     started_at = table.start_times.effective_start(endpoint.name, endpoint.started_at, now, since_last_answer)
     table.put(number, endpoint)
     if endpoint.status is EndpointStatus.REMOVED:
@@ -65,7 +67,7 @@
 def _list_updated_log_event(
     state: RouterState, event: events.EndpointListReceived, received: dict[int, Endpoint]
 ) -> effects.LogEvent:
-    """Return the line of the log that reports an updated list."""
+    """Return the log event that reports an updated endpoint list."""
     not_ready = {
         endpoint.name: endpoint.status.value
         for endpoint in received.values()
@@ -82,7 +84,7 @@
 def on_load_report_received(
     state: RouterState, now: timedelta, event: events.LoadReportReceived
 ) -> Iterator[effects.Effect]:
-    """Report to the policy what came of a load probe."""
+    """Count a load probe that has ended, and report its result to the policy."""
     state.metrics.add(f"probe_{event.status.value}", event.elapsed)
     probe_ended = routing_events.LoadProbeEnded(
         event.endpoint_id, event.status, to_nanoseconds(event.elapsed), event.report
--- a/llm_router/lifecycle/endpoint_numbering.py
+++ b/llm_router/lifecycle/endpoint_numbering.py
@@ -1,4 +1,4 @@
-"""Number endpoints by their names, alike at all router instances."""
+"""Assignment of numbers to endpoints by name, with the same result at all router instances."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class EndpointNumbering:
-    """The numbers by which the policy knows endpoints.
+    """The mapping from endpoint names to the numbers that the policy uses.
 
-    The policy's hash ring hashes these numbers, so all router instances must give a name the same one."""
+    The policy's hash ring hashes these numbers, so all router instances must give a name the same number."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, int] = {}
         self._used: set[int] = set()
 
     def assign(self, name: str) -> int:
-        """Return the number of a name, a new one if it has none; two names never share a number."""
+        """Return the number of an endpoint name, and assign one if necessary; no two names share a number."""
         if name not in self.by_name:
             number = crc32(name.encode())
             while number in self._used:
@@ -25,5 +25,5 @@
         return self.by_name[name]
 
     def remove(self, name: str) -> None:
-        """Free the number of a name."""
+        """Remove an endpoint name, and free its number for other names."""
         self._used.remove(self.by_name.pop(name))
--- a/llm_router/lifecycle/events.py
+++ b/llm_router/lifecycle/events.py
@@ -1,6 +1,6 @@
 """Events that the transport feeds to the reducer.
 
-They are plain data; all times are `timedelta` on the router's clock."""
+An event is plain data. All times are `timedelta` values on the router's clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request; one final answer is owed. `idempotency_key` is None where it may run twice."""
+    """A client has sent a request, which must get exactly one final answer.
+
+    `idempotency_key` is None if the request may run twice."""
 
     request_id: str
     class_name: str
@@ -32,14 +34,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has disconnected or cancelled."""
+    """The client has disconnected or has cancelled its request."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptWritten:
-    """An attempt's connection is up, and its bytes are being written."""
+    """The connection of an attempt is established, and its bytes are being written."""
 
     request_id: str
     attempt: int
@@ -47,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptUnacknowledged:
-    """The endpoint's machine has not acknowledged an attempt's last byte after several round trips."""
+    """The host of an endpoint has not acknowledged the last byte of an attempt after several round trips."""
 
     request_id: str
     attempt: int
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """The first event of an attempt's response is being forwarded."""
+    """The first part of the response to an attempt is being forwarded to the client."""
 
     request_id: str
     attempt: int
@@ -63,7 +65,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt has ended, and its connection is idle or closed; fields as in the policy's event."""
+    """An attempt has ended, and its connection is idle or closed.
+
+    The fields have the same meaning as in the policy's AttemptEnded event."""
 
     request_id: str
     attempt: int
@@ -75,13 +79,18 @@
 
 
 class ReservationOutcome(Enum):
-    """How a reservation call ended; the value names it in the log."""
+    """The outcome of a reservation call; its value is the outcome's name in the log."""
 
+    # The endpoint made the reservation.
     RESERVED = "reserved"
-    REJECTED = "reservation_rejected"  # by an endpoint that knows of the prefill
-    NOT_MADE = "reservation_not_made"  # it was not written, or its endpoint did nothing
-    UNKNOWN = "reservation_unknown"  # it was answered, and may have been made all the same
-    UNANSWERED = "reservation_unanswered"  # it may still be on its way
+    # The endpoint knows the prefill and made no reservation.
+    REJECTED = "reservation_rejected"
+    # The call was not written, or the endpoint did nothing.
+    NOT_MADE = "reservation_not_made"
+    # The endpoint answered, but the answer does not show whether it made a reservation.
+    UNKNOWN = "reservation_unknown"
+    # The endpoint has not answered, and the call may still reach it.
+    UNANSWERED = "reservation_unanswered"
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseCallEnded:
-    """A release call has ended; `acknowledged`: the endpoint has acknowledged it."""
+    """A release call has ended; `acknowledged` is true if the endpoint acknowledged it."""
 
     request_id: str
     accepted_at: timedelta
@@ -105,10 +114,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestDeadline:
-    """Timer: a client's time is over.
+    """Timer that fires shortly after the deadline of a request.
 
-    `accepted_at`, here and in the other timers, distinguishes the request from an earlier one with the same
-    id."""
+    In each timer, `accepted_at` distinguishes the request from an earlier one with the same id."""
 
     request_id: str
     accepted_at: timedelta
@@ -116,7 +124,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptTimeout:
-    """Timer: an attempt has taken as long as the policy allows."""
+    """Timer that fires when an attempt has run for the time that the policy allows."""
 
     request_id: str
     accepted_at: timedelta
@@ -125,7 +133,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseTimer:
-    """Timer: a release of what is held for a request is due, or the next round of its calls."""
+    """Timer that fires when a release of a request, or the next round of its release calls, is due."""
 
     request_id: str
     accepted_at: timedelta
@@ -133,7 +141,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ArrivalTimer:
-    """Timer: a prefill that a decode endpoint did not know of has been answered by now, or is missing."""
+    """Timer after which a running prefill without an answer counts as missing.
+
+    It is set when a decode endpoint answers for the second time that it does not know the prefill."""
 
     request_id: str
     accepted_at: timedelta
@@ -145,17 +155,17 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set with ScheduleTimer has fired; the policy's own timers are numbers."""
+    """A timer that a ScheduleTimer effect set has fired; the policy's own timers are numbers."""
 
     timer: int | LifecycleTimer
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListReceived:
-    """The endpoint list: a full snapshot, or the entries that changed.
+    """Discovery has sent an endpoint list, either a full snapshot or only the entries that changed.
 
-    `since_last_answer` is how long before this list the previous answer of discovery came, None if there was
-    none. `malformed` names the malformed entries."""
+    `since_last_answer` is the time since the previous answer of discovery, or None if there was none.
+    `malformed` has the names of the malformed entries."""
 
     endpoints: tuple[Endpoint, ...]
     is_full: bool
@@ -165,7 +175,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReportReceived:
-    """A load probe has ended: its report, where one came in time."""
+    """A load probe has ended; `report` has values only if the endpoint answered in time."""
 
     endpoint_id: int
     status: AttemptStatus
--- a/llm_router/lifecycle/final_answers.py
+++ b/llm_router/lifecycle/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answers of the router's own: rejection or failure."""
+"""The final answers that the router itself gives: rejections and failures."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from llm_router.routing import actions as routing_actions
 from llm_router.routing.actions import AnswerReason
 
-MAX_ANSWER_DELAY = timedelta(milliseconds=500)  # a request answered so long after its deadline is lost
+# A final answer this long after the deadline counts as late, because the client has given up by then.
+MAX_ANSWER_DELAY = timedelta(milliseconds=500)
 
 
 def reject_request(
     state: RouterState, now: timedelta, action: routing_actions.RejectRequest
 ) -> Iterator[effects.Effect]:
-    """Give a request the final answer that it is rejected, unless it is closed."""
+    """Reject a request as its final answer, unless the request is closed."""
     retry_after = to_timedelta(action.retry_after)
     answer = effects.SendRejection(action.request_id, retry_after, action.reason.value)
     yield from _answer(state, now, action, answer, metric="rejected", log_event="request_rejected")
@@ -28,7 +29,7 @@
 def fail_request(
     state: RouterState, now: timedelta, action: routing_actions.FailRequest
 ) -> Iterator[effects.Effect]:
-    """Give a request the final answer that it failed, unless it is closed."""
+    """Fail a request as its final answer, unless the request is closed."""
     answer = effects.SendFailure(action.request_id, action.reason.value)
     yield from _answer(state, now, action, answer, metric="failed", log_event="request_failed")
 
@@ -42,7 +43,7 @@
     metric: str,
     log_event: str,
 ) -> Iterator[effects.Effect]:
-    """Close a request with a final answer, unless it is closed; count and log it."""
+    """Close a request and send its final answer, and count and log it; do nothing if it is closed."""
     request = state.requests.get(action.request_id)
     if request is None or request.is_closed:
         return
@@ -55,7 +56,7 @@
 def _log_answer(
     state: RouterState, now: timedelta, request: Request, log_event: str, reason: AnswerReason
 ) -> Iterator[effects.Effect]:
-    """Log and count the reason of an answer, with the attempts before it."""
+    """Log a final answer with its reason and the attempts of its request, and count the reason."""
     state.metrics.add(f"ended_{reason.value}")
     attempts = [f"{each.endpoint_name} {each.outcome}" for each in request.attempts]
     fields: dict[str, object] = {"request": request.request_id, "reason": reason.value, "attempts": attempts}
--- a/llm_router/lifecycle/idempotency_registry.py
+++ b/llm_router/lifecycle/idempotency_registry.py
@@ -1,4 +1,4 @@
-"""The idempotency keys of requests that may have run, bounded in number and in time."""
+"""A registry of the idempotency keys of requests that may have run, limited in size and in time."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 @dataclass(slots=True)
 class IdempotencyRegistry:
-    """Keys of requests that must not run twice.
+    """The idempotency keys of requests that must not run twice.
 
-    A client may repeat a booking whose first sending runs or may have run. A key is registered when its
-    request comes, and stays until `retention` after the request's end, unless it certainly never ran."""
+    A client may repeat a request, for example a booking, while the first one runs or after it may have run. A
+    key is registered when its request is accepted. It is removed `retention` after the end of the request, or
+    at the end if the request has certainly not run."""
 
     capacity: int
     retention: timedelta
     running: set[str] = field(default_factory=set)
-    completed: dict[str, timedelta] = field(default_factory=dict)  # end times, oldest first
+    completed: dict[str, timedelta] = field(default_factory=dict)  # end times by key, oldest first
 
     def conflicts(self, key: str, now: timedelta) -> bool:
         """Return whether a request with this key is running or may have run within the retention time."""
@@ -25,15 +26,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no other key fits: dropping one early could let a booking run twice."""
+        """Whether no other key fits; dropping a key early could let a request run twice."""
         return len(self.running) + len(self.completed) >= self.capacity
 
     def start(self, key: str) -> None:
-        """Register a key as running."""
+        """Register the key of a request that starts to run."""
         self.running.add(key)
 
     def end(self, key: str, now: timedelta, may_have_run: bool) -> None:
-        """Register a running key as ended; the key of a request that never ran may be used once more."""
+        """Record the end of the request with this key; if it has not run, the key becomes free for reuse."""
         if key not in self.running:
             return
         self.running.discard(key)
@@ -41,7 +42,7 @@
             self.completed[key] = now
 
     def expire(self, now: timedelta) -> None:
-        """Remove the keys whose retention time is over."""
+        """Remove the keys whose retention time has ended."""
         while self.completed:
             oldest = next(iter(self.completed))
             if now - self.completed[oldest] <= self.retention:
--- a/llm_router/lifecycle/interval_metrics.py
+++ b/llm_router/lifecycle/interval_metrics.py
@@ -1,4 +1,4 @@
-"""Counts and durations of what was met in an interval, for one line of the log."""
+"""Counts and durations of the events in one interval, which are logged in one line."""
 
 from __future__ import annotations
 
@@ -6,39 +6,40 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-LOG_INTERVAL = timedelta(seconds=5)  # between two lines of the log, at least
+LOG_INTERVAL = timedelta(seconds=5)  # minimum time between two log lines with metrics
 MILLISECOND = timedelta(milliseconds=1)
 
 
 @dataclass(slots=True)
 class DurationSummary:
-    """The sum and the maximum of several durations."""
+    """The sum and the maximum of the durations that were added."""
 
     total: timedelta = timedelta()
     longest: timedelta = timedelta()
 
     def add(self, duration: timedelta) -> None:
-        """Add one duration."""
+        """Add one duration to the summary."""
         self.total += duration
         self.longest = max(self.longest, duration)
 
 
 @dataclass(slots=True)
 class IntervalMetrics:
-    """Counts and durations since the last line of the log."""
+    """The counts and durations of events since the last log line with metrics."""
 
     started_at: timedelta | None = None
     counts: Counter[str] = field(default_factory=Counter)
-    durations: dict[str, DurationSummary] = field(default_factory=dict)  # by name, for a part of the counts
+    # The durations by metric name. Some metrics have only a count.
+    durations: dict[str, DurationSummary] = field(default_factory=dict)
 
     def add(self, name: str, duration: timedelta | None = None) -> None:
-        """Count one more, with how long it took where that is known."""
+        """Count one event, and add its duration if it has one."""
         self.counts[name] += 1
         if duration is not None:
             self.durations.setdefault(name, DurationSummary()).add(duration)
 
     def end_interval(self, now: timedelta) -> dict[str, object] | None:
-        """Return the log fields of the interval and start the next, None while this one is not over."""
+        """Return the log fields of the interval and start the next one, or return None before its end."""
         if self.started_at is None:
             self.started_at = now
         if now - self.started_at < LOG_INTERVAL or not self.counts:
--- a/llm_router/lifecycle/policy_actions.py
+++ b/llm_router/lifecycle/policy_actions.py
@@ -1,4 +1,4 @@
-"""Turn the actions that the routing policy decides on into effects."""
+"""Conversion of the actions that the routing policy decides on into effects."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 def consult_policy(
     state: RouterState, now: timedelta, event: routing_events.Event
 ) -> Iterator[effects.Effect]:
-    """Feed an event to the policy and perform the actions that it decides on.
+    """Feed an event to the policy, and perform the actions that the policy decides on.
 
-    An attempt that cannot be opened ends at once, and its end is fed to the policy in turn."""
+    An attempt that cannot be opened ends at once, and its end is fed to the policy as another event."""
     pending: deque[routing_events.Event] = deque([event])
     while pending:
         for action in state.policy.handle(to_nanoseconds(now), pending.popleft()):
@@ -41,7 +41,7 @@
 def _start_attempt(
     state: RouterState, now: timedelta, action: routing_actions.StartAttempt
 ) -> Generator[effects.Effect, None, routing_events.AttemptEnded | None]:
-    """Open an attempt; return its end where it cannot be opened."""
+    """Open an attempt, or return the event of its end if it cannot be opened."""
     request = state.requests.get(action.request_id)
     if request is None:
         return None
@@ -58,7 +58,7 @@
 
 
 def _may_start_attempt(state: RouterState, now: timedelta, request: Request) -> bool:
-    """Return whether the latest attempt of a request may be opened."""
+    """Return whether the deadline and the number of attempts allow a request's latest attempt."""
     max_attempts = state.settings.max_attempts
     if max_attempts and len(request.attempts) > max_attempts:
         return False
@@ -66,7 +66,7 @@
 
 
 def _end_at_once(request: Request, attempt: Attempt, status: AttemptStatus) -> routing_events.AttemptEnded:
-    """End the latest attempt, which was not opened, and return the event for the policy."""
+    """End the latest attempt of a request, which was not opened, and return the event for the policy."""
     attempt.end(status)
     index = len(request.attempts) - 1
     return routing_events.AttemptEnded(
@@ -77,7 +77,7 @@
 def _open_attempt(
     now: timedelta, request: Request, endpoint: Endpoint, action: routing_actions.StartAttempt
 ) -> Iterator[effects.Effect]:
-    """Open the latest attempt, within its own time where the policy limits that."""
+    """Open the latest attempt of a request, and set a timer if the policy limits its duration."""
     index = len(request.attempts) - 1
     is_prefill = request.attempts[index].is_prefill
     deadline = request.deadline
@@ -101,14 +101,14 @@
 def _cancel_attempt(
     state: RouterState, _now: timedelta, action: routing_actions.CancelAttempt
 ) -> Iterator[effects.Effect]:
-    """Abort an attempt, unless its response has started."""
+    """Abort an attempt, unless the response to it has started."""
     request = state.requests.get(action.request_id)
     if request is not None and not request.attempts[action.attempt].is_responding:
         yield from request.abort_attempt(action.attempt, AttemptStatus.CANCELLED)
 
 
 def _reserve(state: RouterState, now: timedelta, action: routing_actions.Reserve) -> Iterator[effects.Effect]:
-    """Make a reservation for the latest attempt while it runs."""
+    """Make a reservation for the latest attempt of a request while the attempt is running."""
     request = state.requests.get(action.request_id)
     endpoint = state.endpoints.get(action.endpoint_id)
     if request is None or endpoint is None:
@@ -121,7 +121,9 @@
 
 
 def _release(state: RouterState, now: timedelta, action: routing_actions.Release) -> Iterator[effects.Effect]:
-    """Release what is held, unless a response has started: that has released all by itself."""
+    """Release the KV state and reservations of a request.
+
+    If a response has started, do nothing, because the start of the response has already freed them."""
     request = state.requests.get(action.request_id)
     if request is not None and not request.response_started:
         request.lease.abandon(now)
@@ -131,7 +133,7 @@
 def _probe_load(
     state: RouterState, _now: timedelta, action: routing_actions.ProbeLoad
 ) -> Iterator[effects.Effect]:
-    """Fetch a load report, if the endpoint is listed."""
+    """Fetch the load report of an endpoint, if the endpoint is listed."""
     endpoint = state.endpoints.get(action.endpoint_id)
     if endpoint is not None:
         yield effects.FetchLoadReport(action.endpoint_id, endpoint)
@@ -140,18 +142,18 @@
 def _set_timer(
     _state: RouterState, _now: timedelta, action: routing_actions.SetTimer
 ) -> Iterator[effects.Effect]:
-    """Set a timer of the policy's own."""
+    """Set a timer for the policy."""
     yield effects.ScheduleTimer(to_timedelta(action.at), action.timer_id)
 
 
 def _log_line(
     _state: RouterState, _now: timedelta, action: routing_actions.LogLine
 ) -> Iterator[effects.Effect]:
-    """Log a line of the policy's own."""
+    """Log a line for the policy."""
     yield effects.LogEvent("policy", {"text": action.text})
 
 
-# Other actions are for the simulator alone.
+# The handlers by type of action. Only the simulator handles the other actions.
 ACTIONS: dict[type, Callable[[RouterState, timedelta, Any], Iterable[effects.Effect]]] = {
     routing_actions.Reserve: _reserve,
     routing_actions.ProbeLoad: _probe_load,
--- a/llm_router/lifecycle/reducer.py
+++ b/llm_router/lifecycle/reducer.py
@@ -1,4 +1,4 @@
-"""The single entry through which the state of a router changes."""
+"""The single function through which all events change the state of a router."""
 
 from __future__ import annotations
 
@@ -35,5 +35,5 @@
 
 
 def reduce(state: RouterState, now: timedelta, event: events.Event) -> list[effects.Effect]:
-    """Change the state by one event, and return the effects to perform, in order."""
+    """Apply one event to the state, and return the effects to perform, in order."""
     return list(HANDLERS[type(event)](state, now, event))
--- a/llm_router/lifecycle/release_order.py
+++ b/llm_router/lifecycle/release_order.py
@@ -13,8 +13,8 @@
 from llm_router.lifecycle.request import Request
 from llm_router.lifecycle.state import RouterState
 
-# Maximum number of endpoints that one pass of a release calls, spread evenly over a large fleet. Endpoints
-# that took part in the request come on top.
+# Maximum number of endpoints that one pass of a release calls, taken evenly from a large fleet. Endpoints to
+# which attempts or reservation calls of the request went are called in addition.
 MAX_ENDPOINTS = 64
 
 
@@ -30,8 +30,8 @@
     """Return the endpoints to call for a release, the one with the latest answer first.
 
     Any endpoint accepts a release call for any request. The other endpoints alternate between zones, because
-    a network partition may cut off one zone with all endpoints that took part in the request. Endpoints that
-    failed last come at the end of their zone. Endpoints that took part in the request but are not listed now
+    a network partition may cut off one zone with all endpoints that the request used. Endpoints whose last
+    contact failed come at the end of their zone. Endpoints that the request used but that are not listed now
     come last; if the endpoint list is empty, they are the only ones to call."""
     by_contact = sorted(
         _candidates(state, request),
@@ -46,7 +46,7 @@
 def _candidates(state: RouterState, request: Request) -> Iterator[int]:
     """Yield the numbers of listed endpoints to call for a release.
 
-    Endpoints that took part in the request come first, in reverse order of its attempts."""
+    Endpoints that the request used come first, in reverse order of its attempts."""
     # The start differs between requests, so that the routers do not all call the same endpoint first.
     start = crc32(request.request_id.encode())
     others = state.endpoint_table.listed.spread(MAX_ENDPOINTS, start)
--- a/llm_router/lifecycle/request_completion.py
+++ b/llm_router/lifecycle/request_completion.py
@@ -1,4 +1,4 @@
-"""Remove a request once nothing is owed for it."""
+"""Removal of a request that is closed and has no resources left to release."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 def complete_request(state: RouterState, now: timedelta, request_id: str) -> Iterator[effects.Effect]:
-    """Remove a request that is closed, has no running attempt and holds nothing; go on releasing till then.
+    """Advance the release of a request, and remove the request once it is complete.
 
-    Every handler of an event about a request ends with this."""
+    A request is complete if it is closed, no attempt runs, and its KV lease is finished. Every handler of an
+    event about a request ends with this call."""
     request = state.requests.get(request_id)
     if request is None:
         return
--- a/llm_router/lifecycle/request_events.py
+++ b/llm_router/lifecycle/request_events.py
@@ -1,4 +1,4 @@
-"""Handlers of the events that begin or end a request."""
+"""Handlers of the events that start or end a request."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
 from llm_router.routing.actions import AnswerReason
 from llm_router.routing.events import AttemptStatus
 
-RETRY_AFTER = timedelta(seconds=1)  # advised where an id or a registry entry must first become free
-BACKSTOP_DELAY = timedelta(milliseconds=5)  # after the deadline, which the policy sees to by itself
+# Retry-After time for a request that is rejected because its id or a registry entry is not free yet.
+RETRY_AFTER = timedelta(seconds=1)
+# Time after the deadline at which the router fails a request that the policy has not ended at the deadline.
+BACKSTOP_DELAY = timedelta(milliseconds=5)
 
 
 def on_request_received(
     state: RouterState, now: timedelta, event: events.RequestReceived
 ) -> Iterator[effects.Effect]:
-    """Accept a request, unless its id is in use or may have run."""
-    refusal = _immediate_answer(state, now, event)
-    if refusal is not None:
-        yield refusal
+    """Accept a request, or answer it at once if its id is in use or its key may have run."""
+    immediate_answer = _immediate_answer(state, now, event)
+    if immediate_answer is not None:
+        yield immediate_answer
         return
     if event.idempotency_key:
         state.idempotency_registry.start(event.idempotency_key)
@@ -45,22 +47,26 @@
 def _immediate_answer(
     state: RouterState, now: timedelta, event: events.RequestReceived
 ) -> effects.SendRejection | effects.SendFailure | None:
-    """Return the answer to a request that cannot be accepted, None if it can."""
+    """Return the answer to a request that cannot be accepted, or None if it can."""
     existing = state.requests.get(event.request_id)
     if existing is not None and existing.only_lease_remains:
-        # The releases of what the earlier request left would take the KV state of this one.
-        reason = "what is held under its id is still being released"
+        # Release calls for the earlier request with this id would free the KV state of this one.
+        reason = "the KV state of an earlier request with this id is still being released"
         return effects.SendRejection(event.request_id, RETRY_AFTER, reason)
     key, registry = event.idempotency_key, state.idempotency_registry
     if existing is not None or (key and registry.conflicts(key, now)):
-        return effects.SendFailure(event.request_id, "its id is running or may have run", id_conflict=True)
+        return effects.SendFailure(
+            event.request_id, "a request with this id is running or may have run", id_conflict=True
+        )
     if key and registry.is_full:
-        return effects.SendRejection(event.request_id, RETRY_AFTER, "the ledger of ids is full")
+        return effects.SendRejection(
+            event.request_id, RETRY_AFTER, "the registry of idempotency keys is full"
+        )
     return None
 
 
 def _accepted_request(state: RouterState, now: timedelta, event: events.RequestReceived) -> Request:
-    """Return the state of a request that is accepted now."""
+    """Return a new Request for a request that is accepted now."""
     release_timeout = state.settings.release_timeout
     schedule = ReleaseSchedule(None if release_timeout is None else to_timedelta(release_timeout))
     lease = KvLease(schedule)
@@ -68,7 +74,7 @@
 
 
 def _policy_event(event: events.RequestReceived) -> routing_events.RequestReceived:
-    """Return the policy's event of a received request."""
+    """Return the event that reports a received request to the policy."""
     return routing_events.RequestReceived(
         request_id=event.request_id,
         class_name=event.class_name,
@@ -87,7 +93,7 @@
 def on_client_disconnected(
     state: RouterState, now: timedelta, event: events.ClientDisconnected
 ) -> Iterator[effects.Effect]:
-    """Close a request whose client has gone, and abort its attempts, even one that is responding."""
+    """Close a request whose client has disconnected, and abort its attempts, even one that is responding."""
     request = state.requests.get(event.request_id)
     if request is None:
         return
@@ -100,9 +106,10 @@
 
 
 def fail_overdue_request(state: RouterState, now: timedelta, request: Request) -> Iterator[effects.Effect]:
-    """Abort all attempts of a request whose time is over and fail it.
+    """Abort all attempts of a request whose deadline has passed, and fail the request.
 
-    This is the backstop for a policy that forgets a request, or may not cancel an attempt that hangs."""
+    This covers a request that the policy lost track of, and an attempt that hangs and that the policy is not
+    allowed to cancel."""
     yield from request.abort_all_attempts(AttemptStatus.TIMEOUT)
     failure = routing_actions.FailRequest(request.request_id, AnswerReason.DEADLINE_EXCEEDED)
     yield from fail_request(state, now, failure)
--- a/llm_router/lifecycle/reservation_events.py
+++ b/llm_router/lifecycle/reservation_events.py
@@ -1,4 +1,4 @@
-"""Handlers of the events about calls that reserve or release capacity at endpoints."""
+"""Handlers of the events about reservation calls and release calls."""
 
 from __future__ import annotations
 
@@ -16,22 +16,26 @@
 from llm_router.lifecycle.state import RouterState
 from llm_router.routing import events as routing_events
 
-ARRIVAL_GRACE = timedelta(
-    milliseconds=20
-)  # for a prefill's answer, once a decode endpoint did not know of it
-RESERVATION_MADE = {  # whether a reservation was made, where that is certain: only then the policy learns it
+# After a decode endpoint has answered for the second time that it does not know a prefill, the prefill counts
+# as missing unless its own answer comes within this time.
+ARRIVAL_GRACE = timedelta(milliseconds=20)
+# Whether a reservation was made, for the outcomes that show it. The policy gets only these outcomes.
+RESERVATION_MADE = {
     ReservationOutcome.RESERVED: True,
     ReservationOutcome.REJECTED: False,
     ReservationOutcome.NOT_MADE: False,
 }
-# Only an endpoint that knows of the prefill answers so: a call that was never written proves nothing.
+# Only an endpoint that knows the prefill gives these outcomes, so they show that the prefill has arrived.
+# NOT_MADE is not among them, because a call that was never written shows nothing.
 PREFILL_KNOWN = frozenset({ReservationOutcome.RESERVED, ReservationOutcome.REJECTED})
 
 
 def on_reservation_ended(
     state: RouterState, now: timedelta, event: events.ReservationEnded
 ) -> Iterator[effects.Effect]:
-    """Report a reservation to the policy while its prefill runs; one that comes later is released."""
+    """Record the outcome of a reservation call, and report it to the policy while the prefill runs.
+
+    A reservation that is made after the prefill has ended is released."""
     request = state.requests.get(event.request_id)
     if request is None:
         return
@@ -53,10 +57,10 @@
 def _check_arrival(
     state: RouterState, now: timedelta, request: Request, index: int
 ) -> Iterator[effects.Effect]:
-    """Follow up a prefill of which a decode endpoint did not know when it was to make a reservation.
+    """Check whether a prefill has arrived, after a decode endpoint answered that it does not know it.
 
-    The reservation call may have overtaken the prefill, so it is made once more. The second time, the
-    prefill counts as missing unless it is answered within a grace time."""
+    The first time, repeat the reservation call, because it may have overtaken the prefill. The second time,
+    set a timer after which the prefill counts as missing unless it is answered."""
     attempt = request.attempts[index]
     if not attempt.is_running or attempt.arrival.is_known:
         return
@@ -77,7 +81,7 @@
 def on_release_call_ended(
     state: RouterState, now: timedelta, event: events.ReleaseCallEnded
 ) -> Iterator[effects.Effect]:
-    """Record what came of a release call, unless it was for an earlier request with the same id."""
+    """Record the result of a release call, unless it belongs to an earlier request with the same id."""
     request = state.requests.get(event.request_id)
     if request is not None and request.accepted_at == event.accepted_at:
         yield from record_release_answer(state, now, request, event)
--- a/llm_router/lifecycle/send_guard.py
+++ b/llm_router/lifecycle/send_guard.py
@@ -1,9 +1,9 @@
-"""The last check, once a connection is up, of whether an attempt or a reservation may be written.
+"""The last check, on an established connection, of whether an attempt or a reservation may be written.
 
-The policy chooses where a request goes. Between its choice and the first byte a connection has to come up,
-and meanwhile clients disconnect, endpoints drain and time runs out. `write_denial` is evaluated before the
-first byte, and once more when the attempt is reported as written, so that a way round it is counted rather
-than unseen. Nothing here changes any state."""
+The policy chooses the endpoint for a request. Before the first byte is written, a connection must be set up.
+In the meantime the client may disconnect, the endpoint may drain, or the deadline may pass. The router calls
+`write_denial` before the first byte and again when the attempt is reported as written, so that an attempt
+that bypassed the check is counted as a violation. The functions of this module change no state."""
 
 from __future__ import annotations
 
@@ -20,25 +20,32 @@
 
 
 class Denial(Enum):
-    """Why an attempt or a reservation may not be written; the value names it in the log."""
+    """A reason why an attempt or a reservation call must not be written; its value is its name in the log."""
 
-    NOT_NEEDED = "client_gone"  # or the client has its answer, or the prefill of a reservation has ended
+    # The request is closed or has a response, or the prefill of the reservation has ended.
+    NOT_NEEDED = "client_gone"
+    # The deadline of the attempt has passed.
     DEADLINE_EXCEEDED = "time_over"
+    # The deduplication window is over, so endpoints would run a repeated request again.
     DEDUPLICATION_WINDOW_OVER = "repeat_window_over"
-    ENDPOINT_NOT_READY = "endpoint_drains"  # or no longer listed
+    # The endpoint is draining or not listed.
+    ENDPOINT_NOT_READY = "endpoint_drains"
+    # The request has used the maximum number of attempts.
     ATTEMPTS_EXHAUSTED = "attempts_used"
-    ANOTHER_ATTEMPT_RUNNING = "copy_out"  # and hedged requests are not allowed
-    MAY_HAVE_RUN = "may_have_run"  # an earlier attempt may have run, and the class may not be repeated
+    # Another attempt of the request is running, and hedged requests are not allowed.
+    ANOTHER_ATTEMPT_RUNNING = "copy_out"
+    # A previous attempt may have run, and requests of the class must not be repeated.
+    MAY_HAVE_RUN = "may_have_run"
 
 
 def check_attempt(state: RouterState, now: timedelta, attempt: OpenAttempt) -> Denial | None:
-    """Return why an attempt whose connection is up may not be written now, None if it may."""
+    """Return why an attempt must not be written to its established connection now, or None if it may."""
     request = state.requests.get(attempt.request_id)
     return write_denial(state, now, request, attempt.attempt, attempt.deadline, attempt.write_deadline)
 
 
 def check_reserve(state: RouterState, reserve: Reserve) -> Denial | None:
-    """Return why a reservation call may not be written now, None if it may."""
+    """Return why a reservation call must not be written now, or None if it may."""
     request = state.requests.get(reserve.request_id)
     return reservation_denial(state, request, reserve.attempt, reserve.endpoint.name)
 
@@ -51,7 +58,7 @@
     deadline: timedelta,
     write_deadline: timedelta | None = None,
 ) -> Denial | None:
-    """Return why a request's attempt of this index may not be written now, None if it may."""
+    """Return why the attempt with this index must not be written now, or None if it may."""
     if request is None or not request.is_pending:
         return Denial.NOT_NEEDED
     if now >= deadline:
@@ -67,7 +74,7 @@
 
 
 def reservation_denial(state: RouterState, request: Request | None, index: int, name: str) -> Denial | None:
-    """Return why a reservation for a prefill may not be made at the named endpoint now, None if it may."""
+    """Return why no reservation may be made at the named endpoint now, or None if one may."""
     if request is None or request.is_closed or not request.attempts[index].is_running:
         return Denial.NOT_NEEDED
     if not _is_ready(state.endpoint_table.find(name)):
@@ -76,12 +83,12 @@
 
 
 def _is_ready(endpoint: Endpoint | None) -> bool:
-    """Return whether an endpoint is listed as ready."""
+    """Return whether an endpoint is listed with the status READY."""
     return endpoint is not None and endpoint.status is EndpointStatus.READY
 
 
 def _repetition_denial(state: RouterState, request: Request, attempt: Attempt) -> Denial | None:
-    """Return why the other attempts of the request forbid this one, None if they do not."""
+    """Return why the other attempts of a request forbid this attempt, or None if they allow it."""
     idempotency = state.idempotency_by_class[request.received.class_name]
     others = [each for each in request.attempts if each is not attempt and each.was_written]
     hedging_allowed = state.settings.hedging and idempotency is Idempotency.SAFE
--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -1,7 +1,7 @@
-"""From when an endpoint's present start counts, on the reducer's clock.
+"""The start times of endpoints, converted to the router's clock.
 
-Discovery reports start times by the wall clock of another machine. Slow start is a span of real time, so a
-reported start is plausible only as far as it fits what could have been known of it here."""
+Discovery reports start times on the wall clock of another host, which may be wrong. Slow start is measured in
+real time, so a reported start time is limited to the range that is plausible on the router's clock."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
     NO_START_TIME as NO_START_TIME,
 )  # re-exported for the parsers of endpoint lists
 
-MAX_START_TIME = timedelta(days=100_000)  # a reported start beyond this is no time at all, and counts as now
-RETENTION = timedelta(minutes=10)  # for how long an endpoint that is no longer listed keeps its start
+# Upper limit for reported start times. It stands for an invalid value; as a future time, it counts as now.
+MAX_START_TIME = timedelta(days=100_000)
+RETENTION = timedelta(minutes=10)  # how long the start time of a removed endpoint is kept
 
 
 @dataclass(slots=True, frozen=True)
 class StartTime:
-    """A start as discovery reported it, and the clock time from which it counts."""
+    """The start time of an endpoint as discovery reported it, and as it is used on the router's clock."""
 
     reported: timedelta
     effective_start: timedelta
@@ -27,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemovedStartTime:
-    """The start of an endpoint that is no longer listed."""
+    """The start time of an endpoint that was removed from the endpoint list."""
 
     start: StartTime
     removed_at: timedelta
@@ -35,21 +36,23 @@
 
 @dataclass(slots=True)
 class StartTimes:
-    """The starts of the listed endpoints, kept a while longer for those that were listed."""
+    """The start times of the listed endpoints, and of endpoints that were removed a short time ago."""
 
-    max_list_delay: timedelta = timedelta()  # a start so long before the last answer is still plausible
+    # The maximum delay of an endpoint list. A new start may have happened up to this long before the last
+    # answer of discovery.
+    max_list_delay: timedelta = timedelta()
     listed: dict[str, StartTime] = field(default_factory=dict)
     removed: dict[str, RemovedStartTime] = field(default_factory=dict)  # oldest first
 
     def effective_start(
         self, name: str, reported: timedelta, now: timedelta, since_last_answer: timedelta | None
     ) -> timedelta:
-        """Record a reported start, and return the clock time from which it counts.
+        """Record a reported start time, and return the start time to use on the router's clock.
 
-        `since_last_answer` is how long before now the last answer of discovery came, None if this is the
-        first. What was not in that answer started later, or a little before it where lists come late: a
-        start that is reported further back counts from that answer. A start that is reported once more
-        counts as it did."""
+        `since_last_answer` is the time since the last answer of discovery, or None if this is the first
+        answer. A start that the last answer did not contain happened after that answer, or at most
+        `max_list_delay` before it. An earlier reported time is replaced by the time of that answer. If the
+        same start time is reported again, the result stays the same."""
         if reported == NO_START_TIME:
             self.listed.pop(name, None)
             return NO_START_TIME
@@ -60,7 +63,7 @@
         return start.effective_start
 
     def remove(self, name: str, now: timedelta) -> None:
-        """Record that an endpoint is no longer listed; it may come back with the same start."""
+        """Record that an endpoint was removed from the list; it may return with the same start time."""
         start = self.listed.pop(name, None)
         if start is not None:
             self.removed[name] = RemovedStartTime(start, now)
@@ -71,7 +74,7 @@
             del self.removed[oldest]
 
     def _restore(self, name: str) -> StartTime | None:
-        """Take the start of an endpoint that is listed anew from those that were removed."""
+        """Return the start time of an endpoint that is listed again, and drop it from `removed`."""
         removed = self.removed.pop(name, None)
         return None if removed is None else removed.start
 
@@ -82,7 +85,9 @@
         since_last_answer: timedelta | None,
         previous: StartTime | None,
     ) -> timedelta:
-        """Return a reported start within what can be true: not in the future, not before the previous one."""
+        """Return a reported start time limited to the plausible range.
+
+        The result is not in the future and is later than the previous start of the same endpoint."""
         plausible = reported
         if since_last_answer is not None and reported < now - since_last_answer - self.max_list_delay:
             plausible = now - since_last_answer
@@ -92,9 +97,10 @@
 
 
 def parse_start_time(unix_milliseconds: object) -> timedelta:
-    """Return a reported start, in milliseconds of Unix time with 0 for long ago, as a `timedelta`.
+    """Return a reported start time, in milliseconds of Unix time, as a `timedelta`.
 
-    What is not a number may mean anything, so it counts as a start of just now; so does a future time."""
+    The value 0 means that discovery gives no start time. A value that is not a number becomes MAX_START_TIME,
+    so that the endpoint counts as started now."""
     if isinstance(unix_milliseconds, bool) or not isinstance(unix_milliseconds, int | float):
         return MAX_START_TIME
     if isinstance(unix_milliseconds, float) and isnan(unix_milliseconds):
--- a/llm_router/lifecycle/state.py
+++ b/llm_router/lifecycle/state.py
@@ -15,12 +15,14 @@
 from llm_router.routing.policy import RoutingPolicy
 from llm_router.routing.settings import Settings
 
-MAX_LIST_DELAY = timedelta(seconds=4)  # that endpoint lists may come late by
-SLOW_START_DIVISOR = 3  # the delay is at most this part of a slow start, lest a wrong clock hide the start
+MAX_LIST_DELAY = timedelta(seconds=4)  # maximum delay with which an endpoint list arrives
+# The assumed delay of a list is at most the slow start window divided by this number. With a longer delay, a
+# wrong clock could make a new endpoint look as if its slow start had ended.
+SLOW_START_DIVISOR = 3
 
 
 class RouterState:
-    """All state of one router instance that is not connections."""
+    """The whole state of one router instance, except for its connections."""
 
     def __init__(
         self, settings: Settings, policy: RoutingPolicy, idempotency_registry: IdempotencyRegistry
@@ -34,7 +36,7 @@
         self.endpoint_table = EndpointTable(settings.kinds, StartTimes(max_list_delay))
         self.requests: dict[str, Request] = {}  # by request id
         self.metrics = IntervalMetrics()
-        self.violations: Counter[str] = Counter()  # by the value of the Invariant
+        self.violations: Counter[str] = Counter()  # number of violations by Invariant value
 
     @property
     def endpoints(self) -> dict[int, Endpoint]:
@@ -48,5 +50,5 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is owed an answer and no release is left to make."""
+        """Whether every request has its final answer and all KV state and reservations are released."""
         return not self.requests
--- a/llm_router/lifecycle/timer_events.py
+++ b/llm_router/lifecycle/timer_events.py
@@ -1,4 +1,4 @@
-"""Handler of timers."""
+"""Handler of the event that a timer has fired."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def on_timer_fired(state: RouterState, now: timedelta, event: events.TimerFired) -> Iterator[effects.Effect]:
-    """Fire a timer of the policy, which is a number, or one of the lifecycle."""
+    """Handle a timer of the policy, which is a number, or a timer of the lifecycle."""
     if isinstance(event.timer, int):
         yield from consult_policy(state, now, routing_events.TimerFired(event.timer))
     else:
@@ -26,17 +26,17 @@
 def _fire_lifecycle_timer(
     state: RouterState, now: timedelta, timer: events.LifecycleTimer
 ) -> Iterator[effects.Effect]:
-    """Fire a timer of a request, unless it was set for an earlier one with the same id."""
+    """Handle a timer of a request, unless the timer belongs to an earlier request with the same id."""
     request = state.requests.get(timer.request_id)
     if request is None or request.accepted_at != timer.accepted_at:
         return
     match timer:
         case events.ReleaseTimer():
-            request.release_timer_at = None  # the release itself is made below
+            request.release_timer_at = None  # `complete_request` starts the release or its next round.
         case events.ArrivalTimer():
             yield from mark_attempt_missing(state, now, request, timer.attempt)
         case _ if request.response_started:
-            return  # a response that has started may take its time
+            return  # The deadline and the time limit of an attempt end when a response starts.
         case events.AttemptTimeout():
             yield from request.abort_attempt(timer.attempt, AttemptStatus.TIMEOUT)
         case events.RequestDeadline():
--- a/llm_router/lifecycle/units.py
+++ b/llm_router/lifecycle/units.py
@@ -1,4 +1,4 @@
-"""Convert between the lifecycle's `timedelta` and the policy's integer nanoseconds; nothing else does."""
+"""Conversion between the `timedelta` values of the lifecycle and the integer nanoseconds of the policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def to_nanoseconds(span: timedelta) -> int:
-    """Return a span or clock time as integer nanoseconds."""
+    """Return a duration or clock time as integer nanoseconds."""
     return span // MICROSECOND * NANOSECONDS_PER_MICROSECOND
 
 
