--- a/tests/lifecycle/test_kv_lease.py
+++ b/tests/lifecycle/test_kv_lease.py
@@ -1,4 +1,4 @@
-"""Reservation and release calls over real connections, whatever fails on the way."""
+"""Release calls over real sockets when no connection to a decode endpoint can be established."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
 )
 
 
-def test_kv_state_is_released_in_time_though_no_decode_connection_comes_up(tmp_path):
+def test_kv_state_is_released_in_time_if_no_decode_connection_is_established(tmp_path):
     clock, prefilled_at, released_at = time.monotonic, [], []
 
     async def prefill_or_release(call, writer):
@@ -36,7 +36,7 @@
 
     async def test():
         async with StandInServer(prefill_or_release) as prefill:
-            listeners = [LateListener() for _ in range(3)]  # they never come up
+            listeners = [LateListener() for _ in range(3)]  # connections to them are never established
             decode_entries = [
                 registry_entry(f"w{n}", each.address, "decode") for n, each in enumerate(listeners)
             ]
--- a/tests/lifecycle/test_kv_lease_property.py
+++ b/tests/lifecycle/test_kv_lease_property.py
@@ -1,4 +1,4 @@
-"""Whatever the order of events and the settings, nothing stays held longer than the release time allows."""
+"""No KV state or reservation outlives the release time, for any order of events and any settings."""
 
 from datetime import timedelta
 
@@ -11,7 +11,7 @@
 from llm_router.routing.settings import ClassSettings, Idempotency, KindSettings, Role, Settings
 
 MILLISECOND = 1_000_000  # nanoseconds
-RUN_TIME = 30_000  # milliseconds: all of a request has ended by then
+RUN_TIME = 30_000  # milliseconds after which every attempt, call and lease of a request has ended
 
 delays = st.sampled_from([1, 5, 30, 80])
 durations = st.sampled_from([1, 20, 150, 700])
@@ -58,12 +58,12 @@
 )
 release_timeouts = st.sampled_from([None, 0, 50, 120, 300, 700, 2000])
 deadlines = st.sampled_from([40, 300, 1000, 4000])
-long_deadlines = st.sampled_from([1000, 4000, 9000])  # past the releases after a first attempt
+long_deadlines = st.sampled_from([1000, 4000, 9000])  # long enough for releases after a first attempt
 
 
 @st.composite
 def router_settings(draw, *, append_prefill=False):
-    """Draw the settings of some operator."""
+    """Draw the settings of a router."""
     release_timeout, deadline = draw(release_timeouts), draw(long_deadlines if append_prefill else deadlines)
     class_settings = ClassSettings(
         "c",
@@ -93,7 +93,7 @@
 
 @st.composite
 def fleets(draw):
-    """Draw endpoints of both roles, and one that can always be reached."""
+    """Draw prefill and decode endpoints, and one decode endpoint that is always reachable."""
     prefill = [((f"r{n}", "prefill"), draw(prefill_endpoints)) for n in range(draw(st.integers(1, 3)))]
     decode = [((f"w{n}", "decode"), draw(decode_endpoints)) for n in range(draw(st.integers(1, 3)))]
     reachable = EndpointBehaviour(delay=draw(delays), failure=AttemptStatus.OVERLOADED)
@@ -102,14 +102,14 @@
 
 @st.composite
 def silent_fleets(draw):
-    """Draw endpoints to which everything arrives and of which many answer nothing."""
+    """Draw endpoints that receive every call but often send no answer."""
     prefill = [((f"r{n}", "prefill"), draw(silent_prefill_endpoints)) for n in range(draw(st.integers(1, 2)))]
     mixed = [((f"m{n}", "mixed"), draw(silent_mixed_endpoints)) for n in range(draw(st.integers(1, 3)))]
     return dict([*prefill, *mixed])
 
 
 def check_release_time(operator_settings, fleet, disconnects_at, seed):
-    """Play one request, and check that nothing stays held for it longer than the release time."""
+    """Run one request in the model, and check that its KV state and reservations are released in time."""
     model = KvLeaseModel(operator_settings, fleet, seed)
     time_remaining = timedelta(microseconds=operator_settings.classes[0].deadline // 1000)
     model.feed(events.RequestReceived("q", "c", 2000, 100, time_remaining, session=f"s{seed}"))
@@ -120,7 +120,8 @@
     return model
 
 
-# The draws are the same each time: the verdict must not hang on chance.
+# The draws are the same in each run, so that the result does not depend on chance. They are derived from the
+# source of each test function.
 @settings(
     max_examples=400, derandomize=True, database=None, deadline=None, suppress_health_check=list(HealthCheck)
 )
--- a/tests/lifecycle/test_kv_lease_state.py
+++ b/tests/lifecycle/test_kv_lease_state.py
@@ -1,4 +1,4 @@
-"""The state machine of a KV lease alone."""
+"""Tests of the KV lease state machine without the reducer."""
 
 from datetime import timedelta
 
@@ -19,7 +19,7 @@
 
 
 def test_two_decode_endpoints_share_the_connect_time_within_the_release_time(lease):
-    assert lease.connect_timeout(SECOND) is None, "nothing is held"
+    assert lease.connect_timeout(SECOND) is None, "no KV state is available"
     lease.prefill_ended(SECOND, AttemptStatus.PREFILLED)
     first = lease.connect_timeout(SECOND)
     second = lease.connect_timeout(SECOND + first)
@@ -43,7 +43,9 @@
     lease.release_started(ReleaseCalls.starting_at(SECOND))
     assert not lease.is_finished and lease.schedule.release_at is None
     lease.release_acknowledged(SECOND)
-    assert lease.is_finished is (status is AttemptStatus.PREFILLED), "what was cut off may show up later"
+    assert lease.is_finished is (status is AttemptStatus.PREFILLED), (
+        "an aborted prefill may leave KV state after the release"
+    )
     lease.release_started(ReleaseCalls.starting_at(SECOND))
     lease.release_acknowledged(SECOND + MAX_PREFILL_TIME_AFTER_RESET)
     assert lease.is_finished
--- a/tests/lifecycle/test_lease_releases.py
+++ b/tests/lifecycle/test_lease_releases.py
@@ -1,4 +1,4 @@
-"""What is held for a request is released in time, whatever fails; each bad order of events is forced."""
+"""KV state and reservations are released in time after failures and unusual orders of events."""
 
 from datetime import timedelta
 
@@ -17,9 +17,9 @@
 CUT_OFF = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
 
 
-def test_a_new_kv_state_cancels_the_release_of_the_old_one(lifecycle):
+def test_new_kv_state_cancels_the_release_of_the_old_one(lifecycle):
     lifecycle.submit()
-    # The connection of the next prefill does not come up yet.
+    # The connection of the next prefill attempt is not established yet.
     reduce(lifecycle.state, lifecycle.now, events.AttemptEnded("q", 0, AttemptStatus.RESET))
     timer_fired = events.TimerFired(events.ReleaseTimer("q", lifecycle.now))
     released = reduce(lifecycle.state, lifecycle.now + 100 * MILLISECOND, timer_fired)
@@ -27,12 +27,12 @@
     lifecycle.feed(events.AttemptWritten("q", 1), 110 * MILLISECOND)
     lifecycle.feed(events.AttemptEnded("q", 1, AttemptStatus.PREFILLED), MILLISECOND)
     assert lifecycle.effects_of(effects.CancelReleases) == [effects.CancelReleases("q")], (
-        "it would take the new state as well"
+        "a running release would free the new KV state too"
     )
     assert lifecycle.effects_of(effects.OpenAttempt) and not lifecycle.effects_of(effects.Release)
 
 
-def test_a_reservation_that_ends_after_a_release_is_released_while_the_request_goes_on(lifecycle):
+def test_a_reservation_call_that_ends_after_a_release_causes_another_release(lifecycle):
     request = request_with_only_a_reservation(lifecycle)
     lifecycle.feed(events.ReservationEnded("q", 0, ReservationOutcome.UNANSWERED), 100 * MILLISECOND)
     assert lifecycle.effects_of(effects.Release) and not request.is_closed
@@ -48,11 +48,13 @@
 
 
 def request_with_only_a_reservation(lifecycle):
-    """Return a request whose prefill broke while its reservation is pending, with no endpoint for another."""
+    """Return a request whose prefill was reset while its reservation call is pending.
+
+    No endpoint is ready for another prefill attempt."""
     lifecycle.submit()
     draining = endpoint("r", "prefill", EndpointStatus.DRAINING)
     lifecycle.feed(events.EndpointListReceived((draining,), False))
-    lifecycle.silence_policy()  # as while the request waits for an endpoint to come back
+    lifecycle.silence_policy()  # the request waits for an endpoint to become ready again
     lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.RESET), 10 * MILLISECOND)
     request = lifecycle.state.requests["q"]
     (release,) = lifecycle.next_release()
@@ -71,11 +73,11 @@
             lifecycle.feed(events.AttemptEnded("q", index, AttemptStatus.CANCELLED), MILLISECOND)
     (release,) = lifecycle.effects_of(effects.Release) or lifecycle.next_release()
     order = release_order(lifecycle.state, lifecycle.state.requests["q"])
-    assert release.endpoint.name == order[0].name == "r", "it answered last"
+    assert release.endpoint.name == order[0].name == "r", "this endpoint has the latest answer"
     assert order[-1] == silent
 
 
-def test_a_release_is_made_in_time_though_the_policy_forgets_it(lifecycle):
+def test_a_release_is_made_in_time_if_the_policy_does_not_request_it(lifecycle):
     lifecycle.submit()
     lifecycle.silence_policy()
     lifecycle.feed(events.ReservationEnded("q", 0, ReservationOutcome.UNANSWERED))
@@ -87,11 +89,11 @@
     lifecycle.feed(events.TimerFired(scheduled.timer))
     assert lifecycle.effects_of(effects.Release)
     lifecycle.feed(events.TimerFired(scheduled.timer), MILLISECOND)
-    assert not lifecycle.effects_of(effects.Release), "once"
+    assert not lifecycle.effects_of(effects.Release), "the release starts only once"
 
 
 @pytest.mark.parametrize("status", CUT_OFF)
-def test_the_release_time_counts_from_the_last_outcome_except_a_failed_connect(lifecycle, status):
+def test_the_release_time_starts_at_the_last_outcome_except_a_failed_connect(lifecycle, status):
     lifecycle.submit()
     lifecycle.finish_prefill()
     lifecycle.silence_policy()
@@ -103,7 +105,7 @@
     assert lifecycle.now < lease.schedule.release_at < lifecycle.now + 500 * MILLISECOND
 
 
-def test_endpoints_that_reject_a_release_are_called_a_few_at_a_time(lifecycle):
+def test_the_calls_that_replace_failed_release_calls_are_limited_in_each_round(lifecycle):
     endpoints = tuple(endpoint(f"s{n}", "decode") for n in range(40))
     lifecycle.feed(events.EndpointListReceived(endpoints, False))
     lifecycle.submit()
@@ -119,8 +121,8 @@
     assert {each.endpoint.name for each in lifecycle.next_release()}.isdisjoint(called)
 
 
-def abandoned_lease(lifecycle):
-    """Return when a request with KV state was abandoned."""
+def time_of_abandoned_lease(lifecycle):
+    """Submit a request whose client disconnects after the prefill, and return the time of that."""
     lifecycle.submit()
     lifecycle.finish_prefill()
     lifecycle.feed(events.ClientDisconnected("q"), MILLISECOND)
@@ -128,8 +130,8 @@
     return lifecycle.now
 
 
-def test_a_release_that_is_never_acknowledged_goes_on_and_is_logged_once(lifecycle):
-    abandoned_at, count = abandoned_lease(lifecycle), len(lifecycle.effects_of(effects.Release))
+def test_an_unacknowledged_release_continues_and_is_logged_once(lifecycle):
+    abandoned_at, count = time_of_abandoned_lease(lifecycle), len(lifecycle.effects_of(effects.Release))
     while lifecycle.now - abandoned_at < 20 * SECOND:
         before = lifecycle.now
         calls = lifecycle.next_release()
@@ -141,7 +143,7 @@
 
 
 def test_a_release_ends_after_a_minute_without_acknowledgement(lifecycle):
-    abandoned_at = abandoned_lease(lifecycle)
+    abandoned_at = time_of_abandoned_lease(lifecycle)
     while lifecycle.next_release():
         assert lifecycle.now - abandoned_at < 61 * SECOND
     assert lifecycle.now - abandoned_at > 60 * SECOND
@@ -149,13 +151,13 @@
 
 
 @pytest.mark.parametrize("release_timeout_ms", [0, 1, 40])
-def test_a_short_release_time_leaves_a_connect_timeout_within_the_protocols_slack(release_timeout_ms):
+def test_a_short_release_time_leaves_a_connect_timeout_that_the_protocol_allows(release_timeout_ms):
     lifecycle = ReducerHarness(release_timeout=release_timeout_ms * 1_000_000)
     lifecycle.submit()
     assert timedelta() < lifecycle.finish_prefill().connect_timeout <= 100 * MILLISECOND
 
 
-def test_a_kv_state_that_its_decode_endpoint_cannot_find_is_released():
+def test_kv_state_that_the_decode_endpoint_does_not_find_is_released():
     harness = PolicyHarness()
     harness.submit()
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
@@ -166,7 +168,7 @@
 
 
 @pytest.mark.parametrize("release_timeout_ms", [0, 1, 40, 100])
-def test_a_short_release_time_leaves_the_first_decode_endpoint_its_attempt(release_timeout_ms):
+def test_a_short_release_time_still_allows_one_decode_attempt(release_timeout_ms):
     harness = PolicyHarness(release_timeout=release_timeout_ms * 1_000_000)
     harness.submit()
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
--- a/tests/lifecycle/test_lifecycle_states.py
+++ b/tests/lifecycle/test_lifecycle_states.py
@@ -1,4 +1,4 @@
-"""The state machines of attempts and requests alone."""
+"""Tests of the state machines of attempts and requests without the reducer."""
 
 from datetime import timedelta
 
@@ -27,7 +27,7 @@
         ([RESPONSE_STARTED], AttemptState.ENDED),
     ],
 )
-def test_an_ended_attempt_still_tells_whether_it_was_written(changes, state):
+def test_an_ended_attempt_still_shows_whether_it_was_written(changes, state):
     attempt = attempt_after(*changes)
     assert attempt.is_running and attempt.was_written is bool(changes)
     attempt.end(AttemptStatus.CANCELLED)
@@ -45,12 +45,12 @@
         ([WRITTEN], AttemptStatus.CONNECT_FAILED, AttemptStatus.CANCELLED, AttemptStatus.CANCELLED),
     ],
 )
-def test_an_aborted_attempt_counts_as_its_abort_says(changes, abort_status, reported, counted):
+def test_an_aborted_attempt_ends_with_the_status_of_its_abort(changes, abort_status, reported, counted):
     assert attempt_after(*changes, abort_status=abort_status).final_status(reported) is counted
 
 
 @pytest.mark.parametrize("status", AttemptStatus)
-def test_a_prefill_never_counts_as_run(status):
+def test_a_prefill_never_counts_as_having_had_an_effect(status):
     attempt = attempt_after(WRITTEN, is_prefill=True)
     attempt.end(status)
     assert not attempt.may_have_run
--- a/tests/lifecycle/test_reducer.py
+++ b/tests/lifecycle/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer alone: no sockets, no clock but the one that the tests pass in."""
+"""Tests of the reducer without sockets; the tests pass in the time."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -26,7 +26,7 @@
     assert lifecycle.finish_prefill(unanswered_reservations=0).endpoint.name == reserve.endpoint.name
     lifecycle.feed(events.ResponseStarted("q", 1), MILLISECOND)
     lifecycle.feed(events.AttemptEnded("q", 1, AttemptStatus.OK), SECOND)
-    assert not lifecycle.effects_of(effects.Release), "a response that started has released all else"
+    assert not lifecycle.effects_of(effects.Release), "the start of the response has freed the resources"
     assert not lifecycle.state.requests and lifecycle.state.is_idle
 
 
@@ -36,7 +36,7 @@
     assert lifecycle.feed(unanswered, MILLISECOND) == []
     lifecycle.submit("p")
     lifecycle.feed(events.ReservationEnded("p", 0, ReservationOutcome.REJECTED), MILLISECOND)
-    assert lifecycle.effects_of(effects.Reserve), "the next decode endpoint is tried after a rejection"
+    assert lifecycle.effects_of(effects.Reserve), "after a rejection the next decode endpoint is tried"
 
 
 def test_a_client_that_disconnects_during_the_prefill_has_it_aborted_and_then_released(lifecycle):
@@ -46,15 +46,17 @@
     assert lifecycle.effects_of(effects.AbortAttempt) == [effects.AbortAttempt("q", 0)]
     assert not lifecycle.effects_of(effects.Release)
     lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.CANCELLED), MILLISECOND)
-    assert not lifecycle.effects_of(effects.Release), "what an aborted prefill leaves may show up later"
+    assert not lifecycle.effects_of(effects.Release), "an aborted prefill may leave KV state later"
     ended_at = lifecycle.now
     assert lifecycle.next_release() and ended_at < lifecycle.now < ended_at + 50 * MILLISECOND
-    assert lifecycle.state.requests, "until an endpoint has acknowledged it"
-    assert lifecycle.acknowledge_releases() == 2, "the second takes what came after the first"
+    assert lifecycle.state.requests, "the request stays until a release is acknowledged"
+    assert lifecycle.acknowledge_releases() == 2, (
+        "the second release frees KV state that came after the first"
+    )
     assert not lifecycle.state.requests
 
 
-def test_zones_take_turns_in_a_release_though_the_request_was_in_one_zone_only(lifecycle):
+def test_release_calls_alternate_between_zones_for_a_request_in_one_zone(lifecycle):
     own, other = "own", "other"
     lifecycle.state = router_state(replace(SETTINGS, zone=own))
     involved = [("r", "prefill", other), ("w", "decode", other), ("w2", "decode", other)]
@@ -70,17 +72,17 @@
         lifecycle.feed(events.AttemptEnded(request_id, 0, AttemptStatus.CANCELLED), 10 * MILLISECOND)
         (release,) = lifecycle.next_release()
         order = release_order(lifecycle.state, lifecycle.state.requests[request_id])
-        assert release.endpoint == order[0], "the first is called first"
+        assert release.endpoint == order[0], "the first endpoint of the order is called first"
         assert order[0].name == "r", "the prefill endpoint that may hold the KV state"
         assert [each.zone for each in order[:6]] == [other, own] * 3, (
-            "one that can be reached is soon called, whichever zone is cut off"
+            "a reachable endpoint is called soon if one zone is partitioned"
         )
         assert len(order) == len(set(order)) == len(listed)
         second_names.add(order[1].name)
-    assert len(second_names) > 1, "not the same one by all"
+    assert len(second_names) > 1, "requests differ in the endpoint that is called second"
 
 
-def test_a_reservation_that_ends_after_the_request_is_released(lifecycle):
+def test_a_reservation_call_that_ends_after_its_request_causes_a_release(lifecycle):
     lifecycle.submit()
     lifecycle.feed(events.ClientDisconnected("q"))
     lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.CANCELLED))
@@ -97,7 +99,7 @@
     assert lifecycle.effects_of(effects.AbortAttempt) == [effects.AbortAttempt("q", 1)]
 
 
-def test_the_deadline_no_longer_applies_once_the_response_has_started(lifecycle):
+def test_the_deadline_does_not_apply_after_the_response_has_started(lifecycle):
     lifecycle.submit()
     deadline = lifecycle.deadline_timer()
     lifecycle.finish_prefill()
@@ -134,30 +136,30 @@
         assert not [each for each in caused if not isinstance(each, effects.ScheduleTimer)]
     lifecycle.feed(events.ReservationEnded("q", 0, ReservationOutcome.UNANSWERED))
     opened = lifecycle.finish_prefill(unanswered_reservations=0)
-    assert opened.request_id == "q", "the policy still knows the request"
+    assert opened.request_id == "q", "the policy still has the new request"
 
 
 def test_idempotency_keys_conflict_if_the_request_may_have_run(lifecycle):
     lifecycle.submit("a", "once", idempotency_key="id")
     lifecycle.submit("b", "once", idempotency_key="id")
-    assert lifecycle.effects_of(effects.SendFailure)[0].id_conflict, "it is running"
+    assert lifecycle.effects_of(effects.SendFailure)[0].id_conflict, "a request with this key is running"
     assert not lifecycle.effects_of(effects.OpenAttempt)
     lifecycle.feed(events.ClientDisconnected("a"))
     lifecycle.feed(events.ReservationEnded("a", 0, ReservationOutcome.UNANSWERED))
     lifecycle.feed(events.AttemptEnded("a", 0, AttemptStatus.CANCELLED))
     lifecycle.submit("c", "once", idempotency_key="id")
-    assert lifecycle.effects_of(effects.OpenAttempt), "a prefill has no effect: it never ran"
+    assert lifecycle.effects_of(effects.OpenAttempt), "a request that only had a prefill counts as not run"
     lifecycle.finish_prefill("c")
     lifecycle.feed(events.ClientDisconnected("c"))
     lifecycle.feed(events.AttemptEnded("c", 1, AttemptStatus.CANCELLED))
     lifecycle.submit("d", "once", idempotency_key="id")
-    assert lifecycle.effects_of(effects.SendFailure)[0].id_conflict, "a cancelled decode may have run"
+    assert lifecycle.effects_of(effects.SendFailure)[0].id_conflict, "a cancelled decode attempt may have run"
     lifecycle.now += timedelta(minutes=11)
     lifecycle.submit("e", "once", idempotency_key="id")
     assert lifecycle.effects_of(effects.OpenAttempt)
 
 
-def test_the_idempotency_registry_is_full_rather_than_forgetful():
+def test_a_full_idempotency_registry_drops_no_key():
     registry = IdempotencyRegistry(2, SECOND)
     registry.start("a")
     registry.start("b")
@@ -187,7 +189,7 @@
     assert to_timedelta(1) == timedelta(microseconds=1)
 
 
-def test_removed_endpoints_leave_nothing_behind(lifecycle):
+def test_removed_endpoints_use_no_memory_and_numbers_stay_the_same(lifecycle):
     for number in range(50):
         added = endpoint(f"new{number}", "decode")
         lifecycle.feed(events.EndpointListReceived((added,), False))
@@ -203,7 +205,7 @@
     assert state.numbers["r"] == before
 
 
-def test_one_log_event_an_interval_reports_counts_and_times(lifecycle):
+def test_one_log_event_per_interval_reports_counts_and_durations(lifecycle):
     lifecycle.submit()
     lifecycle.finish_prefill()
     lifecycle.feed(events.ResponseStarted("q", 1), 30 * MILLISECOND)
@@ -221,10 +223,10 @@
     assert line.name == "interval_metrics"
     assert {name: line.fields[name] for name in expected} == expected
     lifecycle.submit("next", after=SECOND)
-    assert not lifecycle.effects_of(effects.LogEvent), "the next line comes an interval later"
+    assert not lifecycle.effects_of(effects.LogEvent), "the next log event comes one interval later"
 
 
-def test_first_tokens_after_an_append_prefill_are_counted_apart(lifecycle):
+def test_first_tokens_after_an_append_prefill_have_their_own_metric(lifecycle):
     decode = lifecycle.state.numbers["w"]
     lifecycle.state.policy.handle = lambda _now, event: (
         [routing_actions.StartAttempt("q", decode)] * isinstance(event, routing_events.RequestReceived)
--- a/tests/lifecycle/test_send_guard.py
+++ b/tests/lifecycle/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt is written: each rule forbids it alone, and a way round it is counted."""
+"""Tests of the send guard: each rule alone forbids a write, and writes against a rule are counted."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -26,7 +26,7 @@
 
 
 def request_with_another_attempt(lifecycle, class_name, status):
-    """End a decode attempt with a status, and return its request with another that is connecting."""
+    """End a decode attempt with a status, and return its request with another attempt that is connecting."""
     lifecycle.submit(class_name=class_name)
     lifecycle.feed(events.AttemptEnded("q", 0, AttemptStatus.PREFILLED), MILLISECOND)
     lifecycle.feed(events.AttemptEnded("q", 1, status), MILLISECOND)
@@ -47,11 +47,11 @@
     assert denial_now(lifecycle) is Denial.NOT_NEEDED
 
 
-def test_nothing_is_written_for_a_request_that_is_removed(lifecycle):
+def test_nothing_is_written_for_an_unknown_request(lifecycle):
     assert denial_now(lifecycle) is Denial.NOT_NEEDED
 
 
-def test_nothing_is_written_from_the_deadline_on(lifecycle):
+def test_nothing_is_written_at_the_deadline(lifecycle):
     lifecycle.submit()
     assert denial_now(lifecycle, deadline=lifecycle.now) is Denial.DEADLINE_EXCEEDED
 
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("status", [AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.TIMEOUT])
 @pytest.mark.parametrize(("class_name", "denial"), [("once", Denial.MAY_HAVE_RUN), ("safe", None)])
-def test_what_may_have_run_is_written_once_more_only_where_its_class_allows(status, class_name, denial):
+def test_a_request_that_may_have_run_is_repeated_only_if_its_class_allows(status, class_name, denial):
     lifecycle = ReducerHarness()
     request_with_another_attempt(lifecycle, class_name, status)
     assert denial_now(lifecycle, index=2) is denial
--- a/tests/support/kv_lease_model.py
+++ b/tests/support/kv_lease_model.py
@@ -1,7 +1,8 @@
-"""A model of endpoints, network and clock around the reducer, which checks the release time by itself.
+"""A model of endpoints, network and clock around the reducer, which checks the release time independently.
 
-All times are whole milliseconds of a clock of its own. What endpoints hold follows the protocol page; the
-network has a delay of its own for each endpoint, so that calls and closes overtake one another."""
+All times are whole milliseconds on the clock of the model. Endpoints hold and free KV state and reservations
+as the protocol defines. Each endpoint has its own network delay, so calls and connection closes can overtake
+one another."""
 
 from __future__ import annotations
 
@@ -23,14 +24,15 @@
 from llm_router.routing.settings import Settings
 
 MILLISECOND = timedelta(milliseconds=1)
-RELEASE_SLACK = 300  # that state may be held beyond the release time
-UNKNOWN_RESERVATION_DELAY = 300  # a reservation is answered so late where no prefill runs
+RELEASE_SLACK = 300  # time beyond the release time for which KV state and reservations may stay unclaimed
+# Additional time for the answer to a reservation call whose prefill is not running at the endpoint.
+UNKNOWN_RESERVATION_DELAY = 300
 CONNECT_TIMEOUT = 250
 RESERVATION_TIMEOUT = 1000
 RELEASE_TIMEOUT = 2000
-ACKNOWLEDGEMENT_TIMEOUT = 120  # what the other machine has not acknowledged by then is reported
-RELEASE_WAIT = 100  # an attempt may wait so long for the release of what an earlier one left
-RESERVATION_DELAY = 2  # between two looks of whether a reservation call may be written
+ACKNOWLEDGEMENT_TIMEOUT = 120  # time after which an attempt that the host has not acknowledged is reported
+RELEASE_WAIT = 100  # maximum time that an attempt waits for the release of a previous attempt's KV state
+RESERVATION_DELAY = 2  # time between two checks of whether a reservation call may be written
 START = 1_000_000
 
 AttemptKey = tuple[str, int]  # request id and attempt
@@ -38,25 +40,25 @@
 
 @dataclass(frozen=True)
 class EndpointBehaviour:
-    """How an endpoint and the network to it behave."""
-
-    delay: int = 1  # each way
-    connects: bool = True  # or connections never come up
-    duration: int = 20  # of a prefill, or till the first token
-    failure: AttemptStatus | None = None  # how an attempt ends, None for well
-    prefill_time_after_reset: int = 0  # after a reset the prefill runs on for so long, and ends well
-    hangs: bool = False  # it takes what comes, and never answers an attempt
-    loses_writes: bool = False  # what is written to it never arrives
-    reads_nothing: bool = False  # its machine acknowledges what is written, and no process reads it
+    """The behaviour of an endpoint and of the network to it."""
+
+    delay: int = 1  # network delay in each direction
+    connects: bool = True  # False if no connection can be established
+    duration: int = 20  # duration of a prefill, or time until the first token
+    failure: AttemptStatus | None = None  # status of every attempt, or None for success
+    prefill_time_after_reset: int = 0  # time after a reset at which the prefill still completes
+    hangs: bool = False  # the endpoint receives attempts and never answers them
+    loses_writes: bool = False  # the network loses every attempt that is written
+    reads_nothing: bool = False  # the host acknowledges an attempt, but no process reads it
     grants_reservations: bool = True
     answers_reservations: bool = True
     answers_releases: bool = True
-    prefills_itself: bool = False  # a decode attempt with no KV state runs all the same
+    prefills_itself: bool = False  # a decode attempt also runs without KV state
 
 
 @dataclass
 class EndpointAttempt:
-    """An attempt as its endpoint knows it."""
+    """The state of an attempt at its endpoint."""
 
     request_id: str
     endpoint_name: str
@@ -65,16 +67,16 @@
 
 @dataclass
 class HeldState:
-    """What endpoints hold for a request, and how many attempts of it they run."""
+    """The KV state and reservations of one request at all endpoints, and its running attempts."""
 
     items: set[str] = field(default_factory=set)
     prefills: int = 0
     decodes: int = 0
-    since: int | None = None  # from when the release time counts, None while it does not
+    since: int | None = None  # start of the release time, or None while it does not run
 
 
 class KvLeaseModel:
-    """The reducer with all that is around it."""
+    """The reducer with modelled endpoints, network and clock."""
 
     def __init__(
         self, settings: Settings, behaviours: dict[tuple[str, str], EndpointBehaviour], seed: int
@@ -96,8 +98,8 @@
         self.limit = None if release_timeout is None else release_timeout // 1_000_000 + RELEASE_SLACK
         self.held: defaultdict[str, HeldState] = defaultdict(HeldState)
         self.violations: list[str] = []
-        self.running: dict[AttemptKey, EndpointAttempt | None] = {}  # None until it is written
-        self.release_calls: dict[str, set[int]] = {}  # numbers of the running ones, by request
+        self.running: dict[AttemptKey, EndpointAttempt | None] = {}  # None until the attempt is written
+        self.release_calls: dict[str, set[int]] = {}  # numbers of the running calls by request id
         zones = itertools.cycle("ab")
         entries = [
             Endpoint(name, f"{name}:1", next(zones), kind, 0, EndpointStatus.READY)
@@ -111,7 +113,7 @@
         heapq.heappush(self.queue, (self.now + delay, next(self.sequence), action))
 
     def run(self, until: int) -> None:
-        """Let time pass."""
+        """Advance the clock and run the actions that are due, then check all release times."""
         while self.queue and self.queue[0][0] <= START + until:
             at, _, action = heapq.heappop(self.queue)
             self.now = max(self.now, at)
@@ -143,14 +145,14 @@
         self.after(timeout, lambda: self.end_attempt(key, AttemptStatus.CONNECT_FAILED))
 
     def write_attempt(self, effect: effects.OpenAttempt, behaviour: EndpointBehaviour) -> None:
-        """Write an attempt: its connection is up."""
+        """Write an attempt whose connection is established."""
         key = effect.request_id, effect.attempt
         if key not in self.running:
             return
         attempt = self.running[key] = EndpointAttempt(effect.request_id, effect.endpoint.name)
         self.feed(events.AttemptWritten(*key))
         if behaviour.loses_writes:
-            attempt.ended = True  # at the endpoint it never began
+            attempt.ended = True  # The attempt never reaches its endpoint.
             self.after(ACKNOWLEDGEMENT_TIMEOUT, lambda: self.feed(events.AttemptUnacknowledged(*key)))
             return
         if behaviour.reads_nothing:
@@ -171,7 +173,7 @@
         self.after(0, lambda: self.end_attempt(key, AttemptStatus.CANCELLED))
 
     def end_attempt(self, key: AttemptKey, status: AttemptStatus, **details: bool) -> None:
-        """Feed an attempt's end to the reducer, unless it has one already."""
+        """Feed the end of an attempt to the reducer, unless the attempt has already ended."""
         if key in self.running:
             del self.running[key]
             self.feed(events.AttemptEnded(*key, status, **details))
@@ -187,10 +189,10 @@
         self.feed(events.ReservationEnded(*key, outcome))
 
     def write_reservation(self, key: AttemptKey, name: str, behaviour: EndpointBehaviour) -> None:
-        if key not in self.running:  # it is not written once the prefill has ended
+        if key not in self.running:  # The call is not written after the prefill has ended.
             self.end_reservation(key, ReservationOutcome.NOT_MADE)
             return
-        if self.running[key] is None:  # nor before the prefill is
+        if self.running[key] is None:  # The call is not written before the prefill.
             self.after(RESERVATION_DELAY, lambda: self.write_reservation(key, name, behaviour))
             return
         self.after(behaviour.delay, lambda: self.reserve(key, name, behaviour))
@@ -233,7 +235,9 @@
         adds: str = "",
         clears: bool = False,
     ) -> None:
-        """Change what is held; `restarts_time`: by an outcome or reservation, from which time counts anew."""
+        """Change the resources and running attempts of a request at its endpoints.
+
+        `restarts_time` is true for an attempt outcome or a reservation, which restarts the release time."""
         self.check_release_time(request_id)
         held = self.held[request_id]
         held.prefills += prefills
@@ -256,7 +260,7 @@
         held.since = self.now
 
     def close_attempt(self, attempt: EndpointAttempt, is_prefill: bool) -> None:
-        """Let an attempt's close arrive."""
+        """Handle a closed connection at the endpoint of an attempt."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -280,9 +284,10 @@
     def end_prefill(
         self, key: AttemptKey, status: AttemptStatus, attempt: EndpointAttempt, behaviour: EndpointBehaviour
     ) -> None:
-        """Let a prefill's end arrive. One whose connection broke may run on, unless it was aborted before.
+        """Handle the end of a prefill at the router.
 
-        The state of a prefill that was aborted goes by itself, but for one that has just ended."""
+        A prefill whose connection was reset may still complete, unless the router aborted it before. An
+        endpoint drops the KV state of an aborted prefill, unless the prefill has just completed."""
         if key in self.running and status is AttemptStatus.RESET and behaviour.prefill_time_after_reset:
             kv_state = f"state at {attempt.endpoint_name}"
             self.after(
--- a/tests/support/lease_record.py
+++ b/tests/support/lease_record.py
@@ -1,9 +1,9 @@
-"""Record what stand-in endpoints hold for requests, and check the release timeout by it alone.
+"""A record of the KV state and reservations at stand-in endpoints, which checks the release time.
 
-The record follows the protocol page: a call counts from its last byte at an endpoint that runs; a completed
-prefill leaves its KV state; a decode endpoint consumes all that is leased with its first token; a release
-frees what no attempt waits for. While no attempt is in flight, nothing may stay leased for longer than the
-release timeout and 300 ms more. The router's own view is never used."""
+The record follows the protocol and does not use the state of the router. A call takes effect when its last
+byte reaches a running endpoint. A completed prefill leaves its KV state. A decode endpoint consumes all
+resources of a request with its first token. A release frees all resources that no attempt waits for. While
+no attempt is in flight, no resource may stay leased for longer than the release time plus 300 ms."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 from time_limits import within
 
-LEASE_SLACK = 0.3  # seconds that something may be leased beyond the release timeout
-CHECK_INTERVAL = 0.02  # seconds between two checks while something is leased
+LEASE_SLACK = 0.3  # seconds beyond the release time for which a resource may stay leased
+CHECK_INTERVAL = 0.02  # seconds between two checks while a resource is leased
 
 
 @dataclass(slots=True)
 class RequestLeases:
-    """What endpoints hold for one request, and its attempts in flight."""
+    """The KV state and reservations of one request at all endpoints, and its attempts in flight."""
 
     leased: set[str] = field(default_factory=set)
     ever_leased: set[str] = field(default_factory=set)
-    answered: bool = False  # a decode endpoint has begun its stream
-    prefills: int = 0  # in flight
-    decodes: int = 0  # in flight
-    timer_started_at: float | None = None  # None while the release timeout does not run
+    answered: bool = False  # a decode endpoint has started its response
+    prefills: int = 0  # prefill attempts in flight
+    decodes: int = 0  # decode attempts in flight
+    timer_started_at: float | None = None  # start of the release time, or None while it does not run
 
     @property
     def has_kv_state(self) -> bool:
-        """Return whether the KV state of a prefill waits."""
+        """Whether an endpoint holds the KV state of a prefill."""
         return any(resource.startswith("KV state") for resource in self.leased)
 
     @property
     def has_attempt_in_flight(self) -> bool:
-        """Return whether an endpoint works on an attempt."""
+        """Whether an endpoint is running an attempt of the request."""
         return self.prefills > 0 or self.decodes > 0
 
 
 class LeaseRecord:
-    """The record of all requests, and the violations of the release timeout found so far."""
+    """The records of all requests, and the violations of the release time that were found."""
 
     def __init__(self, release_timeout: float) -> None:
-        """Take the release timeout of the settings in seconds."""
+        """Create an empty record; `release_timeout` is in seconds."""
         self.requests: dict[str, RequestLeases] = {}
         self.changed = asyncio.Condition()
         self._limit = release_timeout + LEASE_SLACK
@@ -56,9 +56,9 @@
 
     @asynccontextmanager
     async def changing(self, request_id: str, restart_timer: bool = False) -> AsyncIterator[RequestLeases]:
-        """Change the record of a request in the block.
+        """Return a context manager in whose block the record of a request may be changed.
 
-        `restart_timer` is for an outcome or a reservation, from which the release timeout starts anew."""
+        `restart_timer` is true for an attempt outcome or a reservation, which restarts the release time."""
         request = self.of(request_id)
         now = asyncio.get_running_loop().time()
         self._check(request_id, now)
@@ -71,17 +71,17 @@
         await self.notify()
 
     async def notify(self) -> None:
-        """Wake who waits for a condition."""
+        """Wake the tasks that wait for a condition."""
         async with self.changed:
             self.changed.notify_all()
 
     async def wait_until(self, condition: Callable[[], object]) -> None:
-        """Wait until a condition on the record or on an endpoint is true."""
+        """Wait until a condition on the record or on an endpoint becomes true."""
         async with self.changed:
             await within(self.changed.wait_for(condition))
 
     async def final_violations(self) -> list[str]:
-        """Return the violations, once every attempt has ended and every lease has ended or expired."""
+        """Wait until every attempt and lease has ended or a lease is overdue, and return the violations."""
         loop = asyncio.get_running_loop()
         requests = self.requests.values()
         await self.wait_until(lambda: not any(request.has_attempt_in_flight for request in requests))
@@ -94,7 +94,7 @@
         return self._violations
 
     def _check(self, request_id: str, now: float) -> None:
-        """Record a violation where the release timeout is over."""
+        """Record a violation if the resources of a request have exceeded the release time."""
         request = self.of(request_id)
         if request.timer_started_at is None:
             return
--- a/tests/support/reducer_harness.py
+++ b/tests/support/reducer_harness.py
@@ -1,4 +1,4 @@
-"""Drives the lifecycle without sockets: the reducer with its clock, or a runtime in this process."""
+"""Helpers that drive the reducer with a simulated clock, or start a runtime in the test process."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -50,14 +50,14 @@
     def __init__(self, **settings):
         self.state = router_state(replace(SETTINGS, **settings))
         self.now = 1000 * SECOND
-        self.effects = []  # of the latest event
+        self.effects = []  # effects of the latest event
         self.release_timers = []
         self.logged = []  # names of log events
         endpoints = endpoint("r", "prefill"), endpoint("w", "decode"), endpoint("w2", "decode")
         self.feed(events.EndpointListReceived(endpoints, True))
 
     def feed(self, event, after=timedelta()):
-        """Reduce an event; connections come up at once, so that each attempt opened is written."""
+        """Advance the clock, reduce an event, and write each opened attempt at once."""
         self.now += after
         self.effects = reduce(self.state, self.now, event)
         for opened in self.effects_of(effects.OpenAttempt):
@@ -72,7 +72,7 @@
         return self.effects
 
     def next_release(self):
-        """Let time pass to the next release that is due, and return its calls."""
+        """Advance the clock to the next release or round that is due, and return its release calls."""
         while self.release_timers:
             scheduled = min(self.release_timers, key=lambda each: each.at)
             self.release_timers.remove(scheduled)
@@ -83,7 +83,7 @@
         return []
 
     def acknowledge_releases(self, limit=9):
-        """Let an endpoint acknowledge each release until none is due any more; return how many it were."""
+        """Acknowledge releases until no more are due or the limit is reached, and return their number."""
         acknowledged, calls = 0, self.effects_of(effects.Release) or self.next_release()
         while calls and acknowledged < limit:
             acknowledged += 1
@@ -92,7 +92,7 @@
         return acknowledged
 
     def end_release_call(self, call, acknowledged):
-        """End a release call a millisecond later."""
+        """Advance the clock by a millisecond, and end a release call."""
         ended = events.ReleaseCallEnded(call.request_id, call.accepted_at, call.call_number, acknowledged)
         self.feed(ended, MILLISECOND)
 
@@ -100,7 +100,7 @@
         return [each for each in self.effects if isinstance(each, kind)]
 
     def log_events(self, name):
-        """Return the log events of a name among the latest effects."""
+        """Return the log events with a name among the effects of the latest event."""
         return [each for each in self.effects_of(effects.LogEvent) if each.name == name]
 
     def submit(self, request_id="q", class_name="safe", after=timedelta(), **fields):
@@ -110,11 +110,11 @@
         return self.feed(received, after)
 
     def silence_policy(self):
-        """Let the policy decide nothing from now on."""
+        """Make the policy return no actions from now on."""
         self.state.policy.handle = lambda *_: []
 
     def deadline_timer(self):
-        """Return the lifecycle's timer of the deadline of the request just submitted."""
+        """Return the timer effect for the deadline of the request that was just submitted."""
         (scheduled,) = (
             each
             for each in self.effects_of(effects.ScheduleTimer)
@@ -123,7 +123,7 @@
         return scheduled
 
     def finish_prefill(self, request_id="q", unanswered_reservations=1):
-        """Let the prefill end well; return the decode attempt that is opened then."""
+        """Complete the prefill, and return the decode attempt that is opened next."""
         for _ in range(unanswered_reservations):
             self.feed(events.ReservationEnded(request_id, 0, ReservationOutcome.UNANSWERED))
         self.feed(events.AttemptEnded(request_id, 0, AttemptStatus.PREFILLED), 10 * MILLISECOND)
@@ -132,7 +132,7 @@
 
 
 def start(prefill, decode, **changes):
-    """Return a runtime that knows a prefill and a decode endpoint."""
+    """Return a runtime whose endpoint list has one prefill and one decode endpoint."""
     addresses = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
     config = platform_configuration({"name": "n", **addresses, "settings": PLATFORM_SETTINGS, **changes})
     runtime = Runtime(
