--- a/llm_router/lifecycle/attempt.py
+++ b/llm_router/lifecycle/attempt.py
@@ -19,7 +19,7 @@
         AttemptStatus.CANCELLED,
     }
 )
-STILL_RUNNING = "out"  # the log's word for an attempt that has not ended
+STILL_RUNNING = "out"  # the outcome that the log shows for an attempt that is still running
 
 
 class AttemptState(Enum):
@@ -40,7 +40,7 @@
     ENDED = auto()
 
 
-# A state that a change does not list stays as it is.
+# The next state by change and current state. A change that does not list the current state has no effect.
 ATTEMPT_TRANSITIONS: dict[AttemptChange, dict[AttemptState, AttemptState]] = {
     AttemptChange.WRITTEN: {
         AttemptState.CONNECTING: AttemptState.WRITTEN,
@@ -65,14 +65,14 @@
     UNKNOWN may change to SUSPECTED_MISSING, and both may change to MISSING. Each of the three changes to
     ARRIVED if the answer to a reservation call shows that the decode endpoint knows the prefill."""
 
-    UNKNOWN = auto()  # No sign is known; the attempt counts as arrived, as most attempts do arrive.
+    UNKNOWN = auto()  # The router has no sign of either, and treats the attempt as arrived.
     SUSPECTED_MISSING = auto()  # A decode endpoint did not know the prefill of a reservation call.
     ARRIVED = auto()  # A decode endpoint knows the prefill, so the attempt has arrived.
     MISSING = auto()  # The last byte of the attempt has probably not arrived.
 
     @property
     def is_known(self) -> bool:
-        """Whether the attempt counts as arrived or as missing, with no doubt left."""
+        """Whether the attempt is known to have arrived or to be missing."""
         return self in (Arrival.ARRIVED, Arrival.MISSING)
 
 
@@ -83,7 +83,7 @@
     endpoint_id: int
     is_prefill: bool
     opened_at: timedelta
-    endpoint: Endpoint | None = None  # None if the endpoint list did not contain it
+    endpoint: Endpoint | None = None  # None if the endpoint was not listed
     state: AttemptState = AttemptState.CONNECTING
     arrival: Arrival = Arrival.UNKNOWN
     abort_status: AttemptStatus | None = (
@@ -93,7 +93,7 @@
 
     @property
     def endpoint_name(self) -> str:
-        """The name of the endpoint, or an empty string if the endpoint list did not contain it."""
+        """The name of the endpoint, or an empty string if the endpoint was not listed."""
         return "" if self.endpoint is None else self.endpoint.name
 
     @property
--- a/llm_router/lifecycle/endpoint.py
+++ b/llm_router/lifecycle/endpoint.py
@@ -7,7 +7,7 @@
 
 from llm_router.routing.events import EndpointStatus
 
-NO_START_TIME = timedelta()  # the start time of an endpoint for which discovery gives none
+NO_START_TIME = timedelta()  # stands for a start time that discovery does not give
 
 
 @dataclass(slots=True, frozen=True)
--- a/llm_router/lifecycle/endpoint_events.py
+++ b/llm_router/lifecycle/endpoint_events.py
@@ -1,4 +1,4 @@
-"""Handlers of endpoint lists and load reports."""
+"""Handlers of the events about endpoint lists and load probes."""
 
 from __future__ import annotations
 
--- a/llm_router/lifecycle/endpoint_table.py
+++ b/llm_router/lifecycle/endpoint_table.py
@@ -48,7 +48,7 @@
         return self.endpoints.get(self.numbering.by_name.get(name, NO_NUMBER))
 
     def complete(self, entry: Endpoint) -> Endpoint | None:
-        """Return a completed entry of an endpoint list, or None if the entry must be ignored.
+        """Return an entry of an endpoint list without malformed fields, or None if it must be ignored.
 
         If the address or the kind is malformed, the last known values of the endpoint are used instead. If
         the settings do not name the kind of a known endpoint, the endpoint counts as removed."""
--- a/llm_router/lifecycle/final_answers.py
+++ b/llm_router/lifecycle/final_answers.py
@@ -20,7 +20,7 @@
 def reject_request(
     state: RouterState, now: timedelta, action: routing_actions.RejectRequest
 ) -> Iterator[effects.Effect]:
-    """Reject a request as its final answer, unless the request is closed."""
+    """Answer a request with a rejection, unless the request is closed."""
     retry_after = to_timedelta(action.retry_after)
     answer = effects.SendRejection(action.request_id, retry_after, action.reason.value)
     yield from _answer(state, now, action, answer, metric="rejected", log_event="request_rejected")
@@ -29,7 +29,7 @@
 def fail_request(
     state: RouterState, now: timedelta, action: routing_actions.FailRequest
 ) -> Iterator[effects.Effect]:
-    """Fail a request as its final answer, unless the request is closed."""
+    """Answer a request with a failure, unless the request is closed."""
     answer = effects.SendFailure(action.request_id, action.reason.value)
     yield from _answer(state, now, action, answer, metric="failed", log_event="request_failed")
 
--- a/llm_router/lifecycle/invariants.py
+++ b/llm_router/lifecycle/invariants.py
@@ -58,7 +58,7 @@
 
 
 def is_release_planned(now: timedelta, request: Request) -> bool:
-    """Return whether a request has a release due in time, or needs none now."""
+    """Return whether the resources of a request have a release due in time, or need none now."""
     lease, schedule = request.lease, request.lease.schedule
     if schedule.release_timeout is None or lease.is_finished or lease.claims or schedule.calls is not None:
         return True
--- a/llm_router/lifecycle/kv_lease.py
+++ b/llm_router/lifecycle/kv_lease.py
@@ -14,7 +14,7 @@
 from llm_router.lifecycle.release_schedule import MILLISECOND, ReleaseSchedule
 from llm_router.routing.events import AttemptStatus
 
-# A connection over a busy link is established within this time.
+# A decode attempt may wait this long for its connection, because connecting over a busy link takes as long.
 MIN_CONNECT_TIME = 100 * MILLISECOND
 # A release waits this long after an abort, because most connection closes reach their endpoint by then.
 CLOSE_SETTLE_TIME = 15 * MILLISECOND
@@ -58,7 +58,7 @@
     EXPIRED = auto()  # No endpoint acknowledged the release calls, and the router stops making them.
 
 
-# A state that a change does not list stays as it is.
+# The next state by change and current state. A change that does not list the current state has no effect.
 LEASE_TRANSITIONS: dict[LeaseChange, dict[LeaseState, LeaseState]] = {
     LeaseChange.PREFILLED: {
         LeaseState.EMPTY: LeaseState.AVAILABLE,
--- a/llm_router/lifecycle/release_calls.py
+++ b/llm_router/lifecycle/release_calls.py
@@ -11,9 +11,9 @@
 
 # Number of release calls in each of the first rounds. Each later round makes one call.
 CALLS_PER_ROUND = (1, 2, 4, 4, 4)
-# Time between the first rounds, after which the next endpoints are called too.
+# Time between the first rounds of a release. Each round calls other endpoints than the previous one.
 ROUND_INTERVAL = timedelta(milliseconds=70)
-# Time between later rounds.
+# Time between the later rounds of a release, until it has stalled.
 LATER_ROUND_INTERVAL = timedelta(milliseconds=250)
 # After this many rounds, about five seconds, a release has stalled and its rounds become less frequent.
 STALLED_ROUNDS = 25
@@ -43,7 +43,9 @@
     started_at: timedelta
     next_round_at: timedelta
     rounds: int = 0
-    remaining: deque[Endpoint] = field(default_factory=deque)  # endpoints that this pass has not called yet
+    remaining: deque[Endpoint] = field(
+        default_factory=deque
+    )  # endpoints not yet called in this pass over all
     running: dict[int, ReleaseCall] = field(default_factory=dict)  # running calls by call number
     replacement_calls_left: int = (
         MAX_REPLACEMENT_CALLS  # calls that may still replace a failed call in this round
@@ -56,7 +58,7 @@
 
     @property
     def has_stalled(self) -> bool:
-        """Whether the release has made so many rounds that the next ones are less frequent."""
+        """Whether the release has just stalled, so that its next rounds are less frequent."""
         return self.rounds == STALLED_ROUNDS
 
     def has_expired(self, now: timedelta) -> bool:
@@ -64,7 +66,7 @@
         return now - self.started_at > MAX_DURATION
 
     def restart(self, moment: timedelta) -> None:
-        """Restart with the first round at a given time; earlier calls may have come too early to succeed."""
+        """Restart the release with its first round at `moment`; the calls so far may have come too early."""
         self.started_at = moment
         self.next_round_at = min(self.next_round_at, moment)
         self.rounds = 0
--- a/llm_router/lifecycle/release_order.py
+++ b/llm_router/lifecycle/release_order.py
@@ -72,7 +72,9 @@
 
 
 def _contact_key(contact: Contact | None) -> tuple[ContactRank, timedelta]:
-    """Return a sort key: latest answer first, then endpoints without contact, then latest failure last."""
+    """Return the sort key of an endpoint by its last contact.
+
+    The latest answer comes first. Endpoints without contact follow, and the latest failure comes last."""
     if contact is None:
         return ContactRank.UNKNOWN, timedelta()
     if contact.answered:
--- a/llm_router/lifecycle/releases.py
+++ b/llm_router/lifecycle/releases.py
@@ -72,7 +72,7 @@
 
 
 def cancel_release_calls(request: Request) -> Iterator[effects.Effect]:
-    """Cancel the running release calls of a request that has no release any more."""
+    """Cancel the release calls of a request whose release has ended."""
     if request.release_call_count and request.lease.schedule.calls is None:
         yield effects.CancelReleases(request.request_id)
 
--- a/llm_router/lifecycle/request.py
+++ b/llm_router/lifecycle/request.py
@@ -29,7 +29,7 @@
     CLOSED = auto()
 
 
-# A state that a change does not list stays as it is.
+# The next state by change and current state. A change that does not list the current state has no effect.
 REQUEST_TRANSITIONS: dict[RequestChange, dict[RequestState, RequestState]] = {
     RequestChange.RESPONSE_STARTED: {
         RequestState.PENDING: RequestState.STREAMING,
--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -9,9 +9,8 @@
 from datetime import timedelta
 from math import isnan
 
-from llm_router.lifecycle.endpoint import (
-    NO_START_TIME as NO_START_TIME,
-)  # re-exported for the parsers of endpoint lists
+# NO_START_TIME is re-exported for the parsers of endpoint lists.
+from llm_router.lifecycle.endpoint import NO_START_TIME as NO_START_TIME
 
 # Upper limit for reported start times. It stands for an invalid value; as a future time, it counts as now.
 MAX_START_TIME = timedelta(days=100_000)
@@ -42,7 +41,7 @@
     # answer of discovery.
     max_list_delay: timedelta = timedelta()
     listed: dict[str, StartTime] = field(default_factory=dict)
-    removed: dict[str, RemovedStartTime] = field(default_factory=dict)  # oldest first
+    removed: dict[str, RemovedStartTime] = field(default_factory=dict)  # by name, oldest removal first
 
     def effective_start(
         self, name: str, reported: timedelta, now: timedelta, since_last_answer: timedelta | None
--- a/llm_router/lifecycle/state.py
+++ b/llm_router/lifecycle/state.py
@@ -1,4 +1,4 @@
-"""The state that the reducer changes."""
+"""The state of one router instance, which the reducer changes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         slow_start_window = to_timedelta(settings.slow_start_window)
         max_list_delay = min(MAX_LIST_DELAY, slow_start_window / SLOW_START_DIVISOR)
         self.endpoint_table = EndpointTable(settings.kinds, StartTimes(max_list_delay))
-        self.requests: dict[str, Request] = {}  # by request id
+        self.requests: dict[str, Request] = {}  # requests by request id
         self.metrics = IntervalMetrics()
         self.violations: Counter[str] = Counter()  # number of violations by Invariant value
 
