--- a/llm_router/routing/endpoint_index.py
+++ b/llm_router/routing/endpoint_index.py
@@ -26,17 +26,17 @@
 
 
 class RoleInCell(NamedTuple):
-    """A role within a cell."""
+    """An endpoint role in one cell, used as a key."""
 
     role: Role
     cell: int
 
 
 class EndpointIndex(dict[int, EndpointState]):
-    """The endpoints by number, as the endpoint list had them last.
+    """The known endpoints by ID, with indexes of the `READY` endpoints by role and cell.
 
-    An update costs as much as the entries that change, whatever the size of the fleet. Removed endpoints
-    remain while an attempt is open there; the indexes have the ready ones alone."""
+    The cost of an update depends on the number of changed entries and not on the size of the fleet. A removed
+    endpoint stays in the dictionary while it has an open attempt, but it is in none of the indexes."""
 
     def __init__(self, kinds: Iterable[KindSettings]) -> None:
         super().__init__()
@@ -45,15 +45,18 @@
         self.by_cell: dict[int, IndexedSet[EndpointState]] = {}
         self.cell_counts: Counter[RoleInCell] = Counter()
         self.removed: dict[int, EndpointState] = {}
-        self.recent: dict[Role, dict[EndpointState, None]] = {role: {} for role in Role}  # last used last
-        self.version = 0  # of the endpoint list
+        # The `READY` endpoints that were used, by role, ordered by the time of their last use.
+        self.recent: dict[Role, dict[EndpointState, None]] = {role: {} for role in Role}
+        self.version = 0  # number of endpoint list updates applied
 
     def update_list(self, event: EndpointListUpdate, now: int) -> list[EndpointState]:
-        """Apply an endpoint list and return what changed; a full snapshot removes what it leaves out."""
+        """Apply an endpoint list update and return the changed endpoints.
+
+        A full snapshot removes all endpoints that it does not list."""
         self.version += 1
         entries = [entry for entry in event.entries or () if entry.kind in self.kinds]
         changed = self._remove_unlisted(entries) if event.is_full else []
-        self._forget_removed()
+        self._delete_removed()
         changed += [self._update_entry(entry, now) for entry in entries]
         return changed
 
@@ -66,8 +69,8 @@
             self._index(endpoint)
         return unlisted
 
-    def _forget_removed(self) -> None:
-        """Forget the removed endpoints without an open attempt."""
+    def _delete_removed(self) -> None:
+        """Delete the removed endpoints that have no open attempt."""
         for endpoint_id, endpoint in list(self.removed.items()):
             if not endpoint.open_attempts:
                 del self.removed[endpoint_id]
@@ -112,33 +115,33 @@
             del self.cell_counts[role_in_cell]
 
     def ready(self, roles: Iterable[Role]) -> list[EndpointState]:
-        """Return the ready endpoints of some roles."""
+        """Return the `READY` endpoints that have one of the given roles."""
         return [endpoint for role in roles for endpoint in self.by_role[role]]
 
     def count(self, *roles: Role) -> int:
-        """Return how many ready endpoints some roles have."""
+        """Return the number of `READY` endpoints that have one of the given roles."""
         return sum(len(self.by_role[role]) for role in roles)
 
     def find_ready(self, endpoint_id: int | None, roles: Iterable[Role]) -> EndpointState | None:
-        """Return an endpoint by its number, if it is ready and has one of some roles."""
+        """Return the endpoint with this ID if it is `READY` and has one of the given roles, else None."""
         endpoint = None if endpoint_id is None else self.get(endpoint_id)
         if endpoint is None or endpoint.entry.status is not EndpointStatus.READY:
             return None
         return endpoint if endpoint.role in roles else None
 
     def mark_used(self, endpoint: EndpointState) -> None:
-        """Note that an endpoint was sent work, or showed its load."""
+        """Mark an endpoint as the last used one of its role, after an attempt, response or load report."""
         if endpoint.entry.status is EndpointStatus.READY:
             recent = self.recent[endpoint.role]
             recent.pop(endpoint, None)
             recent[endpoint] = None
 
     def recently_used(self, role: Role, limit: int) -> list[EndpointState]:
-        """Return the ready endpoints of a role that were used last, latest first, at most `limit`."""
+        """Return up to `limit` recently used `READY` endpoints of a role, the last used one first."""
         return list(islice(reversed(self.recent[role]), limit))
 
     def open_attempt(self, event: FirstToken | ReservationResult | AttemptEnded) -> Attempt | None:
-        """Return the open attempt that an event is about."""
+        """Return the open attempt to which an event belongs, or None if there is none."""
         endpoint = self.get(event.endpoint_id)
         if endpoint is None:
             return None
--- a/llm_router/routing/endpoint_state.py
+++ b/llm_router/routing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What the policy knows of an endpoint."""
+"""The state that the routing policy keeps for each endpoint."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
 
 class TenantClass(NamedTuple):
-    """A tenant with one of the request classes; endpoints may reject the requests of one alone."""
+    """A tenant and a request class. An endpoint may be overloaded for one such pair and accept others."""
 
     tenant: str | None
     class_name: str
 
 
-NO_TENANT_CLASS = TenantClass(None, "")  # matches no request: leaves overload of single tenants aside
+# This pair matches no request. Callers pass it to ignore overload that concerns a single tenant and class.
+NO_TENANT_CLASS = TenantClass(None, "")
 
 
 class AttemptKey(NamedTuple):
-    """The identity of an attempt among those at an endpoint."""
+    """The key of an attempt among the open attempts of an endpoint."""
 
     request_id: str
     attempt: int
@@ -31,44 +32,50 @@
 
 @dataclass(slots=True)
 class CachedPrefix:
-    """When an endpoint last prefilled a shared prefix."""
+    """A prefix in an endpoint's cache, with the time of the last prefill that used it."""
 
     updated_at: int
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """An endpoint as this router instance knows it; all times are nanoseconds."""
+    """An endpoint as this router instance knows it; all times and durations are in nanoseconds."""
 
     entry: EndpointEntry
     role: Role
     memory_tokens: int
-    open_attempts: dict[AttemptKey, Attempt] = field(default_factory=dict)  # ours, oldest first
-    committed_tokens: int = 0  # tokens that the answers of our open attempts may come to occupy
-    streams: int = 0  # our open decode attempts
-    queueing_delay: int = 0  # how long its last prefill or first token had to wait; below 0 if early
+    # The open attempts of this router instance at the endpoint, oldest first.
+    open_attempts: dict[AttemptKey, Attempt] = field(default_factory=dict)
+    committed_tokens: int = 0  # KV memory that this router's open decode attempts may need, in tokens
+    streams: int = 0  # number of this router's open decode attempts
+    # Queueing delay of the latest prefill or first token. It is below 0 if the response came sooner than
+    # the estimated prefill time.
+    queueing_delay: int = 0
     queueing_delay_at: int = 0
-    overtaken_before: int = 0  # attempts sent before this were overtaken by later ones that were answered
+    # Attempts sent before this time are overtaken: the endpoint has answered an attempt sent later.
+    overtaken_before: int = 0
     last_response_at: int = 0
     consecutive_ejections: int = 0
-    consecutive_errors: int = 0  # error answers, and answers that could not be read
+    # Number of error responses, malformed responses and broken connections in sequence.
+    consecutive_errors: int = 0
     ejected_until: int = 0
     slow_until: int = 0
     overloaded_until: dict[TenantClass | None, int] = field(default_factory=dict)
-    next_slow_start_send: int | None = None  # the earliest time of its next attempt during slow start
+    next_slow_start_send: int | None = None  # earliest time of the next attempt during slow start
     load_report: LoadReport = NO_REPORT
     load_report_at: int | None = None
-    probe_sent_at: int | None = None  # while a load probe is out
-    cache_valid_since: int = 0  # what it cached before this is lost
-    cached_prefixes: dict[str, CachedPrefix] = field(default_factory=dict)  # the latest last
+    probe_sent_at: int | None = None  # send time of the running load probe, None if there is none
+    cache_valid_since: int = 0  # cache contents from before this time are lost
+    # The prefixes in the endpoint's cache, ordered by the time of their last use.
+    cached_prefixes: dict[str, CachedPrefix] = field(default_factory=dict)
 
     @property
     def endpoint_id(self) -> int:
-        """Return its number in the endpoint list."""
+        """Return the endpoint's ID from the endpoint list."""
         return self.entry.endpoint_id
 
     def update_entry(self, entry: EndpointEntry, role: Role, now: int) -> None:
-        """Take over an entry of the endpoint list; after a restart nothing learnt before counts."""
+        """Apply an entry of the endpoint list. If the endpoint has restarted, reset its measured state."""
         if entry.started_at > self.entry.started_at:
             self._reset(now)
         self.entry = entry
@@ -87,12 +94,12 @@
         self.overloaded_until.clear()
 
     def available_at(self, tenant_class: TenantClass) -> int:
-        """Return from when on it is neither ejected nor overloaded for a tenant and class."""
+        """Return from when the endpoint is neither ejected nor overloaded for a tenant and class."""
         return max(self.ejected_until, self.overloaded_until.get(tenant_class, 0))
 
     @property
     def oldest_waiting(self) -> Attempt | None:
-        """Return our attempt that has waited longest there, without those that later ones overtook."""
+        """Return this router's oldest attempt at the endpoint that has no response and is not overtaken."""
         for attempt in self.open_attempts.values():
             if attempt.is_waiting and not attempt.is_overtaken:
                 return attempt
@@ -100,5 +107,5 @@
 
     @property
     def waiting_tokens(self) -> int:
-        """Return how many of our prompt tokens wait for their prefill there."""
+        """Return how many prompt tokens of this router's attempts wait for prefill at the endpoint."""
         return sum(attempt.uncached_tokens for attempt in self.open_attempts.values() if attempt.is_waiting)
--- a/llm_router/routing/hash_ring.py
+++ b/llm_router/routing/hash_ring.py
@@ -1,4 +1,4 @@
-"""A consistent hash ring that is changed in place and walked lazily."""
+"""A consistent hash ring with updates in place and lazy iteration."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 
 def stable_hash(text: str) -> int:
-    """Hash a text to 32 bits, the same way in every process.
+    """Return a 32-bit hash of a text that is the same in every process.
 
-    CRC-32 alone spreads similar texts badly; the rest is the finalizer of SplitMix64."""
+    CRC-32 alone distributes similar texts unevenly, so the finalizer of SplitMix64 is applied to it."""
     value = (crc32(text.encode()) + 0x9E3779B97F4A7C15) * 0xBF58476D1CE4E5B9 & MASK_64_BITS
     return ((value ^ value >> 31) * 0x94D049BB133111EB & MASK_64_BITS) >> 32
 
 
 def jump_hash(key: int, buckets: int) -> int:
-    """Return a bucket for a key in logarithmic time; few keys move when a bucket is added.
+    """Return the bucket of a key by jump consistent hashing, in logarithmic time.
 
-    Lamping and Veach, "A Fast, Minimal Memory, Consistent Hash Algorithm"."""
+    Few keys change their bucket if a bucket is added. The algorithm is that of Lamping and Veach,
+    "A Fast, Minimal Memory, Consistent Hash Algorithm"."""
     chosen = -1
     following = 0
     while following < buckets:
@@ -36,24 +37,25 @@
 
 
 class RingPoint(NamedTuple):
-    """A point of an endpoint on the ring."""
+    """A point of an endpoint on the hash ring."""
 
     position: int
     endpoint_id: int
 
 
 class HashRing:
-    """The points of endpoints on a ring, the same in all processes where their numbers of points agree.
+    """A consistent hash ring of endpoints, each of which has one or more points.
 
-    A change costs the points that come or go, each in logarithmic time."""
+    Processes that give the same endpoints the same numbers of points have identical rings. Adding or removing
+    a point takes logarithmic time."""
 
     def __init__(self) -> None:
-        self.points = SortedList()  # of RingPoint
+        self.points = SortedList()  # all points, as RingPoint objects
         self._endpoints: dict[int, EndpointState] = {}
-        self._point_counts: dict[int, int] = {}  # by endpoint number
+        self._point_counts: dict[int, int] = {}  # number of points by endpoint ID
 
     def set_points(self, endpoint: EndpointState, count: int) -> None:
-        """Set how many points an endpoint has; 0 removes it."""
+        """Set the number of points that an endpoint has on the ring; 0 removes the endpoint."""
         endpoint_id = endpoint.endpoint_id
         before = self._point_counts.get(endpoint_id, 0)
         for index in range(before, count):
@@ -68,7 +70,7 @@
             self._endpoints.pop(endpoint_id, None)
 
     def walk(self, key: str) -> Iterator[EndpointState]:
-        """Yield each endpoint once, in the order of the ring from a key's position."""
+        """Yield each endpoint once, in ring order, starting at the position of a key."""
         start = RingPoint(stable_hash(key), -1)
         seen = set()
         for _, endpoint_id in chain(self.points.irange(start), self.points.irange(None, start)):
--- a/llm_router/routing/indexed_set.py
+++ b/llm_router/routing/indexed_set.py
@@ -1,4 +1,4 @@
-"""A set that is iterated in a reproducible order, from which an even spread of items can be taken."""
+"""A set with a reproducible iteration order that can return an evenly spaced sample of its items."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class IndexedSet(Generic[Item]):
-    """A set whose items stand in a list; adding and removing take constant time."""
+    """A set that keeps its items in a list; adding or removing an item takes constant time."""
 
     def __init__(self) -> None:
         self.items: list[Item] = []
@@ -20,7 +20,7 @@
         return len(self.items)
 
     def __iter__(self) -> Iterator[Item]:
-        """Iterate over the items in the order of the list."""
+        """Iterate over the items in list order."""
         return iter(self.items)
 
     def add(self, item: Item) -> None:
@@ -30,7 +30,7 @@
             self.items.append(item)
 
     def discard(self, item: Item) -> None:
-        """Remove an item, if it is in the set; the last item moves to its index."""
+        """Remove an item if it is in the set; the last item of the list takes its place."""
         index = self._indexes.pop(item, None)
         if index is None:
             return
@@ -40,6 +40,6 @@
             self._indexes[last] = index
 
     def sample(self, limit: int, offset: int) -> list[Item]:
-        """Return at most `limit` items, evenly spaced; each `offset` selects other ones."""
+        """Return at most `limit` evenly spaced items; `offset` shifts the selection."""
         step = -(-len(self.items) // limit)
         return self.items[offset % step :: step] if step > 1 else list(self.items)
--- a/llm_router/routing/statistics.py
+++ b/llm_router/routing/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics over what was seen recently."""
+"""Moving averages and decaying counters for recent measurements and events."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 
 from llm_router.routing.duration import SECOND
 
-SMOOTHING = 0.1  # weight of a new sample in a moving average: about the last ten samples count
-RECENT_SPAN = 5 * SECOND  # nanoseconds over which rates are counted: load changes within seconds
+# The weight of a new sample in a moving average; the average covers about the last ten samples.
+SMOOTHING_FACTOR = 0.1
+RECENT_SPAN = 5 * SECOND  # nanoseconds over which events are counted; load changes within seconds
 
 
 @dataclass(slots=True)
@@ -22,32 +23,32 @@
         if self.value is None:
             self.value = sample
         else:
-            self.value += SMOOTHING * (sample - self.value)
+            self.value += SMOOTHING_FACTOR * (sample - self.value)
 
 
 @dataclass(slots=True)
 class DecayingCounter:
-    """A count of recent events, which fades over `span` nanoseconds."""
+    """A count of recent events that decays over `span` nanoseconds."""
 
     span: int
     count: float = 0.0
     updated_at: int = 0
 
     def decay(self, now: int) -> float:
-        """Let the count fade up to `now` and return it."""
+        """Apply the decay up to `now` and return the count."""
         self.count *= max(0.0, 1 - (now - self.updated_at) / self.span)
         self.updated_at = now
         return self.count
 
     def add(self, now: int, amount: int = 1) -> float:
-        """Count `amount` more events and return the count."""
+        """Add `amount` events and return the count."""
         self.decay(now)
         self.count += amount
         return self.count
 
 
 class Timestamped(Protocol):
-    """Something that knows when it was last updated."""
+    """An object with the time of its last update."""
 
     updated_at: int
 
@@ -56,7 +57,7 @@
 
 
 def drop_older_than(table: dict[str, Entry], moment: int) -> None:
-    """Drop the entries last updated before `moment` from a table in the order of its updates."""
+    """Remove the entries last updated before `moment`. The table must be ordered by update time."""
     while table:
         oldest = next(iter(table))
         if table[oldest].updated_at >= moment:
