--- a/llm_router/routing/append_prefill.py
+++ b/llm_router/routing/append_prefill.py
@@ -1,4 +1,7 @@
-"""Append-prefill: decides whether a later turn's new tokens are prefilled where it is decoded (PPD)."""
+"""Choice between append-prefill and remote prefill for the later turns of a session (PPD).
+
+With append-prefill, the decode endpoint also prefills the new tokens. With remote prefill, a prefill
+endpoint prefills the prompt."""
 
 from __future__ import annotations
 
@@ -15,16 +18,22 @@
 from llm_router.routing.statistics import MovingAverage
 from llm_router.routing.tracked_request import TrackedRequest, WorkloadBucket
 
-FIRST_TOKEN_WEIGHT = 1.0  # of the score's two halves, without unit: the paper weighs both alike
+# The weights of the two relative gains in the score have no unit. They are equal in the PPD paper.
+FIRST_TOKEN_WEIGHT = 1.0
 TOKEN_INTERVAL_WEIGHT = 1.0
-MAX_NEW_SHARE = 0.25  # of the prompt: with more new tokens the prefill would delay the streams there
-MAX_STREAMS_FACTOR = 2.0  # multiple of our median streams at a decode endpoint up to which it may prefill
-MAX_NEW_TOKENS_UNMEASURED = 2000  # tokens that are prefilled there while an average is empty
-EXPLORATION_SHARE = 0.03  # of append-prefills, sent the usual path to feed its averages
+# Append-prefill requires a smaller share of new tokens in the prompt than this. A longer prefill would delay
+# the streams at the decode endpoint.
+MAX_NEW_TOKEN_SHARE = 0.25
+# Append-prefill requires that the endpoint has at most this multiple of the median number of streams.
+MAX_STREAMS_FACTOR = 2.0
+# While an average has no sample, append-prefill requires fewer new tokens than this.
+MAX_NEW_TOKENS_UNMEASURED = 2000
+# The probability that a request chosen for append-prefill is prefilled remotely, to update those averages.
+EXPLORATION_SHARE = 0.03
 
 
 class PathKey(NamedTuple):
-    """A workload bucket on one of the two paths."""
+    """The key of the averages: a workload bucket, and whether append-prefill is used."""
 
     bucket: WorkloadBucket
     append_prefill: bool
@@ -32,7 +41,7 @@
 
 @dataclass(slots=True)
 class PathAverages:
-    """The averages of a path, in nanoseconds."""
+    """The mean time to the first token and mean token interval of a path, in nanoseconds."""
 
     first_token: MovingAverage = field(default_factory=MovingAverage)
     token_interval: MovingAverage = field(default_factory=MovingAverage)
@@ -44,7 +53,7 @@
 
 
 class AppendPrefill:
-    """Compares the two paths of a later turn by the averages of the workload bucket that it falls into."""
+    """The selector of append-prefill, which compares the averages of both paths in a workload bucket."""
 
     def __init__(
         self, context: PolicyContext, candidates: CandidateSubset, estimates: PrefillEstimates
@@ -53,14 +62,14 @@
         self.candidates = candidates
         self.estimates = estimates
         self.averages: dict[PathKey, PathAverages] = {}
-        self._streams = MovingAverage()  # ours at a decode endpoint
+        self._streams = MovingAverage()  # mean number of this router's streams at a decode endpoint
 
     def choose_endpoint(self, request: TrackedRequest) -> EndpointState | None:
-        """Return the decode endpoint that shall prefill a later turn, None for the usual path."""
+        """Return the decode endpoint for the append-prefill of a request, or None for remote prefill."""
         endpoint = self._last_decode_endpoint(request)
         if endpoint is None or self._is_busy(request, endpoint):
             return None
-        if request.new_tokens >= MAX_NEW_SHARE * request.received.prompt_tokens:
+        if request.new_tokens >= MAX_NEW_TOKEN_SHARE * request.received.prompt_tokens:
             return None
         if not self._is_better(request):
             return None
@@ -68,14 +77,15 @@
         return None if explores else endpoint
 
     def record_first_token(self, request: TrackedRequest, elapsed: int) -> None:
-        """Record how many nanoseconds after its arrival a request had its first token."""
+        """Record the time from a request's arrival to its first token, in nanoseconds."""
         self._path_averages(request).first_token.add(elapsed)
 
     def record_answer(self, request: TrackedRequest, endpoint: EndpointState, event: AttemptEnded) -> None:
-        """Record a finished answer: its token interval, and whether the endpoint still had its cache.
+        """Record the token interval of a finished answer, and detect a lost cache at the endpoint.
 
-        If little of the prefix was cached at an append-prefill (flush, restart, no memory), the endpoint's
-        earlier sessions count no more, even if this one alone was lost."""
+        If less than half of the prefix was cached for an append-prefill, the cache was probably flushed, lost
+        in a restart or full. The affinities of all earlier sessions at the endpoint are then ignored, even
+        though possibly only this session was evicted."""
         if request.first_token_at is not None:
             elapsed = self.context.now - request.first_token_at
             self._path_averages(request).token_interval.add(elapsed / request.expected_output_tokens)
@@ -84,7 +94,7 @@
             endpoint.cache_valid_since = request.arrived_at
 
     def _last_decode_endpoint(self, request: TrackedRequest) -> EndpointState | None:
-        """Return the endpoint that decoded the session's last answer, if it is usable and has its cache."""
+        """Return the session's last decode endpoint, if it is usable and has kept its cache, else None."""
         affinity = request.affinity
         if affinity is None:
             return None
@@ -95,18 +105,18 @@
 
     def _is_busy(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
         peers = self.candidates.usable(DECODE_ROLES, request.tenant_class) or [endpoint]
-        usual = median(peer.streams for peer in peers)
-        return endpoint.streams > MAX_STREAMS_FACTOR * max(1, usual)
+        median_streams = median(peer.streams for peer in peers)
+        return endpoint.streams > MAX_STREAMS_FACTOR * max(1, median_streams)
 
     def _is_better(self, request: TrackedRequest) -> bool:
-        """Return whether append-prefill scores above the usual path in the request's workload bucket."""
+        """Return whether append-prefill scores above remote prefill in the request's workload bucket."""
         bucket = self._workload(request)
         append = self.averages.get(PathKey(bucket, append_prefill=True), PathAverages())
-        usual = self.averages.get(PathKey(bucket, append_prefill=False), PathAverages())
-        if not append.complete or not usual.complete:
+        remote = self.averages.get(PathKey(bucket, append_prefill=False), PathAverages())
+        if not append.complete or not remote.complete:
             return request.new_tokens < MAX_NEW_TOKENS_UNMEASURED
-        first_token_gain = _relative_gain(append.first_token, usual.first_token)
-        token_interval_gain = _relative_gain(append.token_interval, usual.token_interval)
+        first_token_gain = _relative_gain(append.first_token, remote.first_token)
+        token_interval_gain = _relative_gain(append.token_interval, remote.token_interval)
         return FIRST_TOKEN_WEIGHT * first_token_gain + TOKEN_INTERVAL_WEIGHT * token_interval_gain > 0
 
     def _path_averages(self, request: TrackedRequest) -> PathAverages:
@@ -114,7 +124,7 @@
         return self.averages.setdefault(key, PathAverages())
 
     def _workload(self, request: TrackedRequest) -> WorkloadBucket:
-        """Return the workload bucket of a request, which is that of the moment it is first needed."""
+        """Return the workload bucket of a request, computed at the first call and then kept."""
         if request.workload is None:
             endpoints = self.candidates.candidates(DECODE_ROLES)
             load = sum(endpoint.streams for endpoint in endpoints) / max(1, len(endpoints))
@@ -127,8 +137,8 @@
         return request.workload
 
 
-def _relative_gain(append: MovingAverage, usual: MovingAverage) -> float:
-    """Return by what share of the usual path's average append-prefill is below it."""
+def _relative_gain(append: MovingAverage, remote: MovingAverage) -> float:
+    """Return the reduction by append-prefill, as a share of the average of remote prefill."""
     append_value = append.value or 0.0
-    usual_value = usual.value or 0.0
-    return (usual_value - append_value) / max(1, usual_value)
+    remote_value = remote.value or 0.0
+    return (remote_value - append_value) / max(1, remote_value)
--- a/llm_router/routing/decode_selection.py
+++ b/llm_router/routing/decode_selection.py
@@ -1,4 +1,4 @@
-"""Selects the decode endpoint of a request by memory, queueing delay and the transfer of its KV state."""
+"""Selection of the decode endpoint of a request by memory use, queueing delay and KV transfer distance."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from llm_router.routing.queueing_delay import QueueingDelays
 from llm_router.routing.tracked_request import TrackedRequest
 
-# Costs in units of an endpoint's full memory, which is also that of a wait as long as the latency objective:
-OTHER_CELL_COST = 0.8  # a transfer to another cell of the zone
-OTHER_ZONE_COST = 1.2  # a transfer to another zone
-SLOW_COST = 1.2  # an endpoint found slow: as bad as another zone
+# The costs have no unit. A cost of 1 equals that of a full KV memory, or of a queueing delay as long as the
+# latency objective.
+OTHER_CELL_COST = 0.8  # cost of a KV transfer to another cell of the same zone
+OTHER_ZONE_COST = 1.2  # cost of a KV transfer to another zone
+SLOW_COST = 1.2  # cost of an endpoint reported as slow, the same as that of another zone
 
 
 class DecodeSelection:
-    """Orders the decode endpoints by cost."""
+    """The order of decode endpoints for a request, by cost."""
 
     def __init__(self, context: PolicyContext, candidates: CandidateSubset, delays: QueueingDelays) -> None:
         self.context = context
@@ -27,8 +28,9 @@
     def ordered(self, request: TrackedRequest) -> list[EndpointState]:
         """Return the usable decode endpoints, best first.
 
-        A reservation comes first; those where an attempt failed, then those asked for a reservation, come
-        last. Equal costs are ordered at random, lest all router instances choose the same."""
+        The endpoint with a reservation comes first. Endpoints that were asked for a reservation come later,
+        and endpoints where an attempt failed come last. Endpoints of equal cost are in random order, so that
+        the router instances do not all choose the same one."""
         failed = request.failed_endpoints
         order = {
             endpoint: (
@@ -38,14 +40,15 @@
                 self.cost(request, endpoint),
                 self.context.random.random(),
             )
-            for endpoint in self.considered(request)
+            for endpoint in self.compared(request)
         }
         return sorted(order, key=order.__getitem__)
 
-    def considered(self, request: TrackedRequest) -> list[EndpointState]:
-        """Return the usable decode endpoints that are compared.
+    def compared(self, request: TrackedRequest) -> list[EndpointState]:
+        """Return the usable decode endpoints that are compared for a request.
 
-        In a large fleet some of the prefill endpoint's cell and the reservation are added."""
+        In a large fleet, these include endpoints of the prefill endpoint's cell and the endpoint with a
+        reservation, even if they are outside this router's subset."""
         tenant_class = request.tenant_class
         found = self.candidates.usable(DECODE_ROLES, tenant_class)
         if self.candidates.is_small(*DECODE_ROLES):
@@ -59,7 +62,7 @@
         return list(dict.fromkeys(found))
 
     def cost(self, request: TrackedRequest, endpoint: EndpointState) -> float:
-        """Return the cost of an endpoint: our share of its memory, its queueing delay and the transfer."""
+        """Return the cost of an endpoint by KV memory use, queueing delay, slowness and KV transfer."""
         if endpoint.memory_tokens:
             cost = endpoint.committed_tokens / endpoint.memory_tokens
         else:
--- a/llm_router/routing/prefill_overflow.py
+++ b/llm_router/routing/prefill_overflow.py
@@ -7,7 +7,7 @@
 from llm_router.routing.endpoint_index import PREFILL_ROLES, EndpointIndex
 from llm_router.routing.endpoint_state import EndpointState
 from llm_router.routing.prefill_estimates import PrefillEstimates
-from llm_router.routing.prefill_selection import QUEUE_SHARE
+from llm_router.routing.prefill_selection import MAX_QUEUEING_SHARE
 from llm_router.routing.queueing_delay import QueueingDelays
 from llm_router.routing.reservations import Reservations
 from llm_router.routing.settings import Role
@@ -47,7 +47,7 @@
         if self.reservations.denied_share() > MAX_DENIED_SHARE:
             return []
         size = request.received.prompt_tokens / (self.estimates.mean_prompt_tokens or 1)
-        max_delay = QUEUE_SHARE * request.request_class.latency_objective
+        max_delay = MAX_QUEUEING_SHARE * request.request_class.latency_objective
         has_prefill_endpoint = self.index.count(*PREFILL_ROLES) > 0
         return [
             endpoint
--- a/llm_router/routing/prefill_selection.py
+++ b/llm_router/routing/prefill_selection.py
@@ -1,4 +1,4 @@
-"""Selects the prefill endpoint of a request by prefix, session and load."""
+"""Selection of the prefill endpoint of a request by prefix, session and load."""
 
 from __future__ import annotations
 
@@ -17,19 +17,22 @@
 from llm_router.routing.queueing_delay import QueueingDelays
 from llm_router.routing.tracked_request import TrackedRequest
 
-QUEUE_SHARE = 0.25  # of the latency objective that may wait at an endpoint, our instance's share of it
-REPLICAS_PER_SHARE = 4.0  # endpoints of a prefix for each endpoint's share of the requests that it has
+# The largest acceptable queueing delay at an endpoint, as a share of the latency objective.
+MAX_QUEUEING_SHARE = 0.25
+# The number of additional replicas of a prefix per unit of its request load. One unit is the mean load of an
+# endpoint.
+REPLICAS_PER_ENDPOINT_LOAD = 4.0
 
 
 class LoadBound(NamedTuple):
-    """What may wait at an endpoint before the next one on the ring is taken."""
+    """The load above which an endpoint is passed over for the next one on the hash ring."""
 
-    max_delay: float  # nanoseconds
-    max_tokens: float
+    max_delay: float  # queueing delay in nanoseconds
+    max_tokens: float  # prompt tokens of this router that wait for prefill at the endpoint
 
 
 class PrefillSelection:
-    """Orders the prefill endpoints by a consistent hash ring with bounded loads."""
+    """The order of prefill endpoints for a request, from a consistent hash ring with bounded loads."""
 
     def __init__(
         self,
@@ -49,39 +52,41 @@
         self.popularity = popularity
 
     def ordered(self, request: TrackedRequest) -> Iterator[EndpointState]:
-        """Yield the usable prefill endpoints, best first, worked out as far as they are asked for.
+        """Yield the usable prefill endpoints, best first, and compute the order lazily.
 
-        They come in ring order from the prefix, those past their load bound after the others by earliest
-        end, those where an attempt failed at the end of each group."""
+        Endpoints within the load bound come first, in ring order. Endpoints above the bound follow, ordered
+        by the expected end of the prefill. Endpoints where an attempt of this request failed come after
+        both groups, in the same order."""
         failed = request.failed_endpoints
         bound = self._load_bound(request)
         loaded = []
-        failed_below_bound = []
+        failed_within_bound = []
         for endpoint in self._ring_order(request):
             if self._is_loaded(endpoint, bound):
                 loaded.append(endpoint)
             elif endpoint in failed:
-                failed_below_bound.append(endpoint)
+                failed_within_bound.append(endpoint)
             else:
                 yield endpoint
         ends = {endpoint: self._expected_end(request, endpoint) for endpoint in loaded}
         loaded.sort(key=ends.__getitem__)
         yield from (endpoint for endpoint in loaded if endpoint not in failed)
-        yield from failed_below_bound
+        yield from failed_within_bound
         yield from (endpoint for endpoint in loaded if endpoint in failed)
 
     def first(self, request: TrackedRequest) -> EndpointState | None:
-        """Return the best prefill endpoint, None if there is no usable one."""
+        """Return the best prefill endpoint, or None if no prefill endpoint is usable."""
         return next(self.ordered(request), None)
 
     def _load_bound(self, request: TrackedRequest) -> LoadBound:
-        max_delay = QUEUE_SHARE * request.request_class.latency_objective
+        max_delay = MAX_QUEUEING_SHARE * request.request_class.latency_objective
         router_count = self.context.settings.router_count
+        # Each router instance may fill an equal share of the queue at an endpoint.
         own_share = max_delay / SECOND * self.estimates.tokens_per_second / router_count
         return LoadBound(max_delay, max(own_share, self.estimates.mean_prompt_tokens))
 
     def _is_loaded(self, endpoint: EndpointState, bound: LoadBound) -> bool:
-        """Return whether an endpoint is past its load bound."""
+        """Return whether the load of an endpoint exceeds the bound."""
         if endpoint.waiting_tokens > bound.max_tokens:
             return True
         return self.delays.delay(endpoint) > bound.max_delay
@@ -91,13 +96,13 @@
         return self.delays.delay(endpoint) + self.estimates.duration(tokens)
 
     def _ring_order(self, request: TrackedRequest) -> list[EndpointState]:
-        """Return the usable endpoints in ring order from the prefix, else the session.
+        """Return the usable endpoints in ring order from the position of the prefix, or else of the session.
 
-        A session goes back first to the endpoint that prefilled it, which has most of it in its cache."""
+        The endpoint that last prefilled the session comes first, because its cache has most of the prompt."""
         if self.candidates.is_small(*PREFILL_ROLES):
-            ring = self._order_of_all(request)
+            ring = self._small_fleet_order(request)
         else:
-            ring = self._order_of_some(request)
+            ring = self._large_fleet_order(request)
         if request.affinity is None:
             return ring
         last = self.index.find_ready(request.affinity.prefill_endpoint_id, PREFILL_ROLES)
@@ -105,7 +110,7 @@
             return ring
         return [last, *(endpoint for endpoint in ring if endpoint is not last)]
 
-    def _order_of_all(self, request: TrackedRequest) -> list[EndpointState]:
+    def _small_fleet_order(self, request: TrackedRequest) -> list[EndpointState]:
         tenant_class = request.tenant_class
         walk = self.ring.walk(_ring_key(request))
         ring = [endpoint for endpoint in walk if self.candidates.accepts(endpoint, tenant_class)]
@@ -114,14 +119,15 @@
         first = self._replica(request, request.received.prefix, len(ring))
         return ring[first:] + ring[:first]
 
-    def _order_of_some(self, request: TrackedRequest) -> list[EndpointState]:
+    def _large_fleet_order(self, request: TrackedRequest) -> list[EndpointState]:
         tenant_class = request.tenant_class
         key = _ring_key(request)
         first = 0
         if request.received.prefix:
             first = self._replica(request, request.received.prefix, self.index.count(*PREFILL_ROLES))
         if first >= MAX_CANDIDATES:
-            # Such a replica has a ring position of its own, lest the walk to it grow with the fleet.
+            # Replicas with high numbers have ring positions of their own. Otherwise, the walk from the
+            # prefix's position to the replica would get longer as the fleet grows.
             key = f"{key} {first}"
         start = first % MAX_CANDIDATES
         walk = self.ring.walk(key)
@@ -129,9 +135,9 @@
         return list(islice(usable, start, start + MAX_CANDIDATES))
 
     def _replica(self, request: TrackedRequest, prefix: str, endpoint_count: int) -> int:
-        """Return which replica of its prefix a request goes to first; a popular prefix has more replicas."""
+        """Return the index of the replica that a request tries first; popular prefixes have more replicas."""
         share = self.popularity.share(prefix)
-        replicas = 1 + int(REPLICAS_PER_SHARE * share * endpoint_count)
+        replicas = 1 + int(REPLICAS_PER_ENDPOINT_LOAD * share * endpoint_count)
         key = request.replica_key
         if replicas > MAX_CANDIDATES:
             return jump_hash(stable_hash(key), replicas)
--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -72,7 +72,7 @@
     assert len(policy.endpoints) <= size + 40 and not policy.endpoints.recent[Role.PREFILL]
 
 
-def test_decode_endpoint_of_lowest_cost_is_chosen_among_those_considered(size):
+def test_decode_endpoint_of_lowest_cost_is_chosen_among_those_compared(size):
     """In a large fleet a better one may exist outside the subset, but not in the prefill's own cell."""
     harness = PolicyHarness(fleet_of(size, kinds=("prefill", "decode")), router_count=200, reservations=False)
     policy = harness.policy
@@ -86,13 +86,13 @@
         request = policy.requests[f"r{number}"]
         chosen = policy.endpoints[harness.attempted_endpoints()[0]]
         is_small = size <= MAX_CANDIDATES
-        considered = policy.endpoints.ready(DECODE_ROLES) if is_small else selection.considered(request)
-        assert len(considered) <= MAX_CANDIDATES + CELL
+        compared = policy.endpoints.ready(DECODE_ROLES) if is_small else selection.compared(request)
+        assert len(compared) <= MAX_CANDIDATES + CELL
         chosen.committed_tokens -= 2200  # as it was before this request
-        best = min(considered, key=lambda endpoint: selection.cost(request, endpoint))
+        best = min(compared, key=lambda endpoint: selection.cost(request, endpoint))
         assert selection.cost(request, chosen) <= selection.cost(request, best) + 1e-9
         same_cell = policy.endpoints.by_cell[request.prefill_target.entry.cell]
-        assert {endpoint for endpoint in same_cell if endpoint.role in DECODE_ROLES} <= set(considered)
+        assert {endpoint for endpoint in same_cell if endpoint.role in DECODE_ROLES} <= set(compared)
         chosen.committed_tokens += 2200
         harness.disconnect(f"r{number}")
 
