--- a/llm_router/routing/load_probes.py
+++ b/llm_router/routing/load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes: asks prefill endpoints for their load before a request is sent to one."""
+"""Load probes, which ask prefill endpoints for their load before a request is sent to one of them."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 from llm_router.routing.events import AttemptStatus, LoadProbeEnded
 from llm_router.routing.tracked_request import TrackedRequest
 
-MAX_PROBES = 3  # endpoints probed for one request: each costs a round trip before the prefill
-PROBE_TIMEOUT = 60 * MILLISECOND  # nanoseconds that a request waits for one report
-REPORT_LIFETIME = 400 * MILLISECOND  # nanoseconds for which a report counts: queues change in about that time
+# The number of endpoints that are probed for one request; each probe costs a round trip before the prefill.
+MAX_PROBES = 3
+PROBE_TIMEOUT = 60 * MILLISECOND  # longest time that a request waits for one load report, in nanoseconds
+# The nanoseconds after which a load report is too old to be used; queues change within about this time.
+REPORT_LIFETIME = 400 * MILLISECOND
 
 
 class LoadProbes:
-    """Sends load probes and records their reports.
+    """The sender of load probes, which also records the load reports.
 
-    Avoids queues that other router instances have filled: of many instances, each sends to an endpoint too
-    rarely to know its queue by its own waits. Reports that lag by more than a queue lasts mislead."""
+    Load reports show the queues that other router instances have filled. One of many router instances sends
+    too few requests to an endpoint to measure its queue by itself. Reports mislead if they are older than the
+    time in which a queue drains."""
 
     def __init__(self, context: PolicyContext, index: EndpointIndex) -> None:
         self.context = context
         self.index = index
 
     def has_report(self, endpoint: EndpointState) -> bool:
-        """Return whether there is a load report of an endpoint that still counts."""
+        """Return whether the latest load report of an endpoint is recent enough to be used."""
         reported_at = endpoint.load_report_at
         return reported_at is not None and self.context.now < reported_at + REPORT_LIFETIME
 
     def probe(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
-        """Probe the endpoint that a request would go to; return whether the request waits for a report."""
+        """Probe an endpoint if a request needs its load report; return whether the request must wait."""
         if not self.context.settings.load_probes or self.has_report(endpoint):
             return False
         if endpoint not in request.probed_endpoints and len(request.probed_endpoints) < MAX_PROBES:
@@ -42,14 +45,14 @@
         return self.context.now < request.probe_deadline
 
     def _send_probe(self, endpoint: EndpointState) -> None:
-        """Send a probe, unless one is out that another request waits for."""
+        """Send a load probe, unless a recent probe of the same endpoint is still unanswered."""
         sent_at = endpoint.probe_sent_at
         if sent_at is None or self.context.now >= sent_at + REPORT_LIFETIME:
             endpoint.probe_sent_at = self.context.now
             self.context.emit(ProbeLoad(endpoint.endpoint_id))
 
     def record_result(self, endpoint: EndpointState, event: LoadProbeEnded) -> None:
-        """Record what came of a probe."""
+        """Record the end of a load probe, and its report if the probe succeeded."""
         endpoint.probe_sent_at = None
         if event.status is AttemptStatus.OK:
             endpoint.load_report = event.report
@@ -57,5 +60,5 @@
             self.index.mark_used(endpoint)
 
     def is_waiting(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
-        """Return whether a request waits for the report of an endpoint."""
+        """Return whether a request is waiting for the load report of an endpoint."""
         return endpoint in request.probed_endpoints and self.context.now < request.probe_deadline
--- a/llm_router/routing/prefill_estimates.py
+++ b/llm_router/routing/prefill_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of prefill work, from what earlier requests showed."""
+"""Estimates of prefill work from the measurements of earlier requests."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 from llm_router.routing.statistics import MovingAverage, drop_older_than
 from llm_router.routing.tracked_request import TrackedRequest
 
-SPEED_RETENTION = 0.98  # of the best prefill speed that is left with each prefill, so that it can sink
+# The factor by which each prefill lowers the recorded peak speed, so that it can follow slower endpoints.
+PEAK_SPEED_DECAY = 0.98
 
 
 class PrefillEstimates:
-    """The mean prompt length, the prefill speed and what endpoints have cached."""
+    """The estimator of prompt lengths, prefill times and cached tokens."""
 
     def __init__(self) -> None:
         self.prompt_tokens = MovingAverage()
-        self.tokens_per_second = 0.0  # of an endpoint at its best
+        self.tokens_per_second = 0.0  # recent peak prefill speed of an endpoint, 0 while unknown
 
     @property
     def mean_prompt_tokens(self) -> float:
-        """Return the mean length of recent prompts, 0 before the first."""
+        """Return the mean length of recent prompts in tokens, or 0 before the first prompt."""
         return self.prompt_tokens.value or 0
 
     def duration(self, tokens: int) -> int:
-        """Return how many nanoseconds a prefill of some tokens takes; 0 while no speed is known."""
+        """Return the estimated prefill time of `tokens` in nanoseconds, or 0 while no speed is known."""
         if not self.tokens_per_second:
             return 0
         return round(tokens * SECOND / self.tokens_per_second)
 
     def uncached_tokens(self, request: TrackedRequest, endpoint: EndpointState) -> int:
-        """Return how many tokens of a prompt an endpoint probably has to prefill."""
+        """Return the estimated number of prompt tokens of a request that are not in an endpoint's cache."""
         received = request.received
         cached = received.prefix_tokens if (received.prefix or "") in endpoint.cached_prefixes else 0
         affinity = request.affinity
@@ -39,12 +40,12 @@
         return max(0, received.prompt_tokens - cached)
 
     def record_prefill(self, tokens: int, elapsed: int) -> None:
-        """Learn the prefill speed from a prefill of some tokens in `elapsed` nanoseconds."""
+        """Update the peak prefill speed after a prefill of `tokens` in `elapsed` nanoseconds."""
         speed = tokens * SECOND / max(1, elapsed)
-        self.tokens_per_second = max(speed, self.tokens_per_second * SPEED_RETENTION)
+        self.tokens_per_second = max(speed, self.tokens_per_second * PEAK_SPEED_DECAY)
 
     def record_cached_prefix(self, request: TrackedRequest, endpoint: EndpointState, now: int) -> None:
-        """Note that an endpoint has a request's prefix in its cache."""
+        """Record that an endpoint has a request's prefix in its cache, and drop its idle prefixes."""
         prefix = request.received.prefix or ""
         endpoint.cached_prefixes.pop(prefix, None)
         endpoint.cached_prefixes[prefix] = CachedPrefix(now)
--- a/llm_router/routing/prefill_overflow.py
+++ b/llm_router/routing/prefill_overflow.py
@@ -1,4 +1,4 @@
-"""Decode endpoints that prefill short prompts where prefill endpoints are overloaded or gone."""
+"""Selection of decode endpoints for prefill if the prefill endpoints are overloaded or missing."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 from llm_router.routing.settings import Role
 from llm_router.routing.tracked_request import TrackedRequest
 
-MAX_DENIED_SHARE = 0.75  # of recent reservation requests, past which no decode endpoint is idle
-# Multiples of the mean prompt length up to which an endpoint of a role prefills: a long prefill delays the
-# streams of a decode endpoint.
+# Decode endpoints get no prefill work if more than this share of the recent reservation requests was denied,
+# because then none of them is idle.
+MAX_RESERVATION_DENIAL_SHARE = 0.75
+# The longest prompt that an endpoint of each role prefills, as a multiple of the mean prompt length. A longer
+# prefill would delay the streams at the endpoint.
 MAX_PROMPT_FACTOR = {Role.DECODE: 0.5, Role.MIXED: 1.0}
 
 
 class PrefillOverflow:
-    """Selects the decode endpoints that may prefill a request."""
+    """The selector of decode and mixed endpoints that may prefill a request."""
 
     def __init__(
         self,
@@ -39,20 +41,21 @@
         self.reservations = reservations
 
     def endpoints(self, request: TrackedRequest) -> list[EndpointState]:
-        """Return the endpoints that may prefill and decode a request, best first.
+        """Return the endpoints that may both prefill and decode a request, best first.
 
-        None of our requests waits at them, and reservations are granted."""
+        An endpoint is left out if prompt tokens of this router wait there or its queueing delay is too long.
+        The list is empty if most reservation requests are denied."""
         if not self.context.settings.append_prefill or request.append_endpoint is not None:
             return []
-        if self.reservations.denied_share() > MAX_DENIED_SHARE:
+        if self.reservations.denied_share() > MAX_RESERVATION_DENIAL_SHARE:
             return []
-        size = request.received.prompt_tokens / (self.estimates.mean_prompt_tokens or 1)
+        relative_length = request.received.prompt_tokens / (self.estimates.mean_prompt_tokens or 1)
         max_delay = MAX_QUEUEING_SHARE * request.request_class.latency_objective
         has_prefill_endpoint = self.index.count(*PREFILL_ROLES) > 0
         return [
             endpoint
             for endpoint in self.decode_selection.ordered(request)
-            if (size <= MAX_PROMPT_FACTOR[endpoint.role] or not has_prefill_endpoint)
+            if (relative_length <= MAX_PROMPT_FACTOR[endpoint.role] or not has_prefill_endpoint)
             and not endpoint.waiting_tokens
             and self.delays.delay(endpoint) <= max_delay
         ]
--- a/llm_router/routing/prefill_ring.py
+++ b/llm_router/routing/prefill_ring.py
@@ -1,4 +1,4 @@
-"""The hash ring of the prefill endpoints, weighted by how much decode capacity is close to each."""
+"""The hash ring of prefill endpoints, weighted by the decode capacity in the cell of each endpoint."""
 
 from __future__ import annotations
 
@@ -11,39 +11,44 @@
 from llm_router.routing.hash_ring import HashRing
 from llm_router.routing.settings import Role
 
-POINTS = 16  # of a prefill endpoint on the ring; more would be more even, at a higher cost of changes
-MIN_POINTS_SHARE = 0.5  # of POINTS for a prefill endpoint with few decode endpoints in its cell
-RATIO_STEPS = 4  # steps to a doubling of the role ratio, at which a large fleet's ring is weighted anew
+# The number of ring points of a prefill endpoint. More points would distribute the load more evenly, but make
+# updates of the ring more expensive.
+POINTS_PER_ENDPOINT = 16
+# A prefill endpoint with few decode endpoints in its cell keeps at least this share of POINTS_PER_ENDPOINT.
+MIN_POINTS_SHARE = 0.5
+# The role ratio of a large fleet is rounded to this many steps per doubling. All points of the ring are
+# recomputed only if the rounded ratio changes.
+RATIO_STEPS_PER_DOUBLING = 4
 
 
 class PrefillRing:
-    """The ring and the role ratio and cells by which its points were last weighted."""
+    """The hash ring of prefill and mixed endpoints, and the role ratio that determined its points."""
 
     def __init__(self, index: EndpointIndex) -> None:
         self.index = index
         self.ring = HashRing()
-        self._role_ratio = 0.0  # prefill endpoints to a decode endpoint
-        self._cell_points: dict[int, int] = {}  # of a prefill endpoint, by cell
+        self._role_ratio = 0.0  # number of prefill endpoints per decode endpoint
+        self._cell_points: dict[int, int] = {}  # number of ring points per prefill endpoint, by cell
 
     def update(self, changed: list[EndpointState]) -> None:
-        """Take over a change of the endpoint list.
+        """Update the ring after a change of the endpoint list.
 
-        It costs the endpoints of the cells that changed, and all prefill endpoints when the role ratio has
-        changed."""
+        The update visits the endpoints of the changed cells. If the role ratio has changed, it visits all
+        prefill endpoints."""
         for endpoint in self._affected(changed):
             self.ring.set_points(endpoint, self.points(endpoint))
 
     def points(self, endpoint: EndpointState) -> int:
-        """Return how many points an endpoint has: fewer where its cell has little decode capacity."""
+        """Return the number of ring points of an endpoint. A cell with little decode capacity has fewer."""
         if endpoint.entry.status is not EndpointStatus.READY or endpoint.role not in PREFILL_ROLES:
             return 0
         if endpoint.role is Role.MIXED:
-            # The more prefill endpoints there are to a decode endpoint, the more it is needed for decoding.
-            return round(POINTS / (1 + self._role_ratio))
+            # With more prefill endpoints per decode endpoint, a mixed endpoint is needed more for decoding.
+            return round(POINTS_PER_ENDPOINT / (1 + self._role_ratio))
         return self._prefill_points(endpoint.entry.cell)
 
     def _affected(self, changed: list[EndpointState]) -> list[EndpointState]:
-        """Return the endpoints whose points may differ after a change of the endpoint list."""
+        """Return the endpoints whose number of points may differ after a change of the endpoint list."""
         before = self._role_ratio
         self._role_ratio = self._current_role_ratio()
         if before != self._role_ratio:
@@ -56,24 +61,24 @@
         return list(affected)
 
     def _update_cell(self, cell: int) -> bool:
-        """Weight a cell anew and return whether its prefill endpoints have other points now."""
+        """Recompute the points per prefill endpoint in a cell; return whether the number has changed."""
         before = self._cell_points.get(cell)
         self._cell_points[cell] = self._prefill_points(cell)
         return before != self._cell_points[cell]
 
     def _current_role_ratio(self) -> float:
-        """Return the prefill endpoints to a decode endpoint, for a large fleet rounded to a step."""
+        """Return the number of prefill endpoints per decode endpoint, rounded to a step in a large fleet."""
         prefill = self.index.count(Role.PREFILL)
         decode = self.index.count(Role.DECODE)
         ratio = prefill / max(1, decode)
         if prefill + decode <= MAX_CANDIDATES or not ratio:
             return ratio
-        steps: int = round(log2(ratio) * RATIO_STEPS)
-        return float(2 ** (steps / RATIO_STEPS))
+        steps: int = round(log2(ratio) * RATIO_STEPS_PER_DOUBLING)
+        return float(2 ** (steps / RATIO_STEPS_PER_DOUBLING))
 
     def _prefill_points(self, cell: int) -> int:
-        """Return how many points a prefill endpoint of a cell has."""
+        """Return the number of ring points of each prefill endpoint in a cell."""
         decode = self.index.cell_counts[RoleInCell(Role.DECODE, cell)]
         prefill = self.index.cell_counts[RoleInCell(Role.PREFILL, cell)]
         share = self._role_ratio * decode / max(1, prefill)
-        return round(POINTS * min(1.0, max(MIN_POINTS_SHARE, share)))
+        return round(POINTS_PER_ENDPOINT * min(1.0, max(MIN_POINTS_SHARE, share)))
--- a/llm_router/routing/queueing_delay.py
+++ b/llm_router/routing/queueing_delay.py
@@ -1,4 +1,4 @@
-"""Estimates how long new work waits at an endpoint."""
+"""Estimates of the queueing delay of new work at an endpoint."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class QueueingDelays:
-    """Measures queueing delays by our own attempts, and takes load reports where they are fresh."""
+    """The estimator of queueing delays, from this router's own attempts and recent load reports."""
 
     def __init__(
         self,
@@ -30,13 +30,16 @@
         self.load_probes = load_probes
 
     def record(self, endpoint: EndpointState, elapsed: int, uncached_tokens: int) -> None:
-        """Record that a prefill or a first token took `elapsed` nanoseconds, prefill included."""
+        """Record the queueing delay of an attempt whose prefill or first token took `elapsed` nanoseconds."""
         endpoint.queueing_delay = elapsed - self.estimates.duration(uncached_tokens)
         endpoint.queueing_delay_at = self.context.now
         self.index.mark_used(endpoint)
 
     def delay(self, endpoint: EndpointState) -> int:
-        """Return the probable wait in nanoseconds: that of our oldest attempt there, or of the last one."""
+        """Return the estimated queueing delay of new work at an endpoint, in nanoseconds.
+
+        The delay of this router's oldest waiting attempt is a lower bound. Beside it, the estimate uses a
+        recent load report of a prefill or mixed endpoint, or else the last measured delay."""
         oldest = endpoint.oldest_waiting
         oldest_delay = 0
         if oldest is not None:
@@ -45,18 +48,18 @@
         if endpoint.role is not Role.DECODE and self.load_probes.has_report(endpoint):
             queued = round(endpoint.load_report.queued_prompt_tokens or 0)
             return max(oldest_delay, self.estimates.duration(queued))
-        return max(0, oldest_delay, self._fading_delay(endpoint))
+        return max(0, oldest_delay, self._decayed_delay(endpoint))
 
     def is_known(self, endpoint: EndpointState) -> bool:
-        """Return whether an endpoint has shown recently how long new work waits there."""
+        """Return whether there is recent information on the queueing delay at an endpoint."""
         if endpoint.oldest_waiting is not None:
             return True
         if self.context.now < endpoint.queueing_delay_at + RECENT_SPAN:
             return True
         return self.load_probes.has_report(endpoint)
 
-    def _fading_delay(self, endpoint: EndpointState) -> int:
-        """Return the last measured delay, less the longer ago that was; it may be below 0."""
+    def _decayed_delay(self, endpoint: EndpointState) -> int:
+        """Return the last measured delay, reduced linearly with its age; an old one gives a value below 0."""
         measured = endpoint.queueing_delay
         if measured <= 0:
             return 0
