--- a/llm_router/routing/admission.py
+++ b/llm_router/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: rejects requests that would be late, and first those of tenants above their quota."""
+"""Admission control, which rejects requests that would be late, and first those of tenants over quota."""
 
 from __future__ import annotations
 
@@ -17,14 +17,19 @@
 from llm_router.routing.statistics import RECENT_SPAN, DecayingCounter
 from llm_router.routing.tracked_request import RequestPhase, TrackedRequest
 
-MAX_WAIT_SHARE = 0.8  # of the latency objective: a request that waits longer is rejected
-MAX_WAIT_SHARE_OVER_QUOTA = 0.4  # the same for a tenant above its quota
-RETRY_FACTOR = 0.5  # of these limits for a client's retry: another instance may have capacity
-AVAILABILITY_HORIZON = SECOND  # nanoseconds past the last useful time, where no endpoint is available
+# A request is rejected if its expected wait exceeds this share of its latency objective.
+MAX_WAIT_SHARE = 0.8
+# For a tenant over its quota, a request is rejected if its wait exceeds this smaller share.
+MAX_WAIT_SHARE_OVER_QUOTA = 0.4
+# The factor on both limits for a request that is a client's retry. Another router instance may have capacity.
+RETRY_WAIT_FACTOR = 0.5
+# If no endpoint has a required role, the first one is assumed to be available this many nanoseconds after the
+# last useful time of the request.
+NO_ENDPOINT_DELAY = SECOND
 
 
 class Admission:
-    """Estimates the wait of a request by the endpoints used recently."""
+    """The admission control of requests, based on their expected wait at recently used endpoints."""
 
     def __init__(
         self,
@@ -41,28 +46,29 @@
         self.load_probes = load_probes
         self.delays = delays
         self.reservations = reservations
-        self.arrivals: dict[str, DecayingCounter] = {}  # by tenant
+        self.arrivals: dict[str, DecayingCounter] = {}  # counters of received requests, by tenant
         self._quotas = {tenant.name: tenant.requests_per_second for tenant in context.settings.tenants}
 
     def record_arrival(self, tenant: str | None) -> None:
-        """Count a request for its tenant's quota."""
+        """Count a received request toward the quota of its tenant."""
         counter = self.arrivals.setdefault(tenant or "", DecayingCounter(RECENT_SPAN))
         counter.add(self.context.now)
 
     def would_be_late(self, request: TrackedRequest) -> bool:
-        """Return whether a request would wait too long, and note when its client should come back.
+        """Return whether a request would wait too long, and set the time after which its client should retry.
 
-        Retries are judged by the same wait, as nobody says how old they are. Clients are advised to stay away
-        for as long as the wait lasts."""
+        The wait of a retry is also counted from its own arrival, because the age of the first request is
+        unknown. The advised retry time is the part of the wait above MAX_WAIT_SHARE."""
         objective = request.latency_objective
         wait = self.context.now - request.arrived_at + self._expected_wait(request)
         request.retry_after = round(wait - MAX_WAIT_SHARE * objective)
         return wait > self._max_wait_share(request) * objective
 
     def no_endpoint_in_time(self, request: TrackedRequest) -> bool:
-        """Return whether no endpoint of a coming phase takes a request before it would be late.
+        """Return whether a phase of a request has no available endpoint until the request would be late.
 
-        Then all are removed, ejected or overloaded together, and waiting would be in vain."""
+        This is the case if all endpoints of a phase are removed, ejected or overloaded. The client is then
+        advised to retry when the first endpoint becomes available."""
         last_useful = request.arrived_at + round(MAX_WAIT_SHARE * request.latency_objective)
         last_useful = max(self.context.now, last_useful)
         available_at = max(
@@ -73,7 +79,7 @@
         return available_at > last_useful
 
     def _first_phase_roles(self, request: TrackedRequest) -> tuple[Role, ...]:
-        """Return the roles of which one endpoint must be available beside a decode endpoint."""
+        """Return the roles that can serve the next phase; one endpoint of these roles must be available."""
         if request.phase is RequestPhase.PREFILLED or self.context.settings.append_prefill:
             return tuple(Role)
         return PREFILL_ROLES
@@ -81,24 +87,25 @@
     def _earliest_available(
         self, roles: tuple[Role, ...], tenant_class: TenantClass, last_useful: int
     ) -> int:
-        """Return when the first endpoint of some roles takes new work; one that does now ends the search."""
+        """Return the earliest time at which an endpoint of some roles is available for a tenant and class."""
         times = []
         for endpoint in self.candidates.candidates(roles):
             available_at = endpoint.available_at(tenant_class)
             if available_at <= self.context.now:
                 return available_at
             times.append(available_at)
-        earliest = min(times, default=last_useful + AVAILABILITY_HORIZON)
+        earliest = min(times, default=last_useful + NO_ENDPOINT_DELAY)
         if earliest > last_useful and not self.candidates.is_small(*roles):
             others = self.candidates.sample(roles)
             return min([earliest, *(endpoint.available_at(tenant_class) for endpoint in others)])
         return earliest
 
     def _expected_wait(self, request: TrackedRequest) -> float:
-        """Return the expected nanoseconds of waiting: the median delays of the phases, and that for capacity.
+        """Return the expected wait of a request in nanoseconds.
 
-        Denied reservations count as a wait: work sent without one queues at the decode endpoints and delays
-        their answers."""
+        It is the sum of the median queueing delays of its phases and a wait for decode capacity. The latter
+        grows with the share of denied reservations, because attempts without a reservation queue at the
+        decode endpoints and delay their answers."""
         wait = 0.0
         for endpoints in self._phase_endpoints(request):
             delays = [self.delays.delay(endpoint) for endpoint in endpoints if self.delays.is_known(endpoint)]
@@ -108,7 +115,7 @@
         return wait + all_denied * request.latency_objective
 
     def _phase_endpoints(self, request: TrackedRequest) -> list[list[EndpointState]]:
-        """Return the endpoints by whose delays the wait of each coming phase is estimated."""
+        """Return, by remaining phase, the endpoints whose queueing delays are used to estimate the wait."""
         if request.append_endpoint is not None:
             return [[request.append_endpoint]]
         if request.probed_endpoints:
@@ -118,29 +125,29 @@
         return [prefill, self._recently_used(Role.DECODE)]
 
     def _recently_used(self, role: Role) -> list[EndpointState]:
-        """Return the usable endpoints of a role; in a large fleet those used last, whose delays are known."""
+        """Return the usable endpoints of a role; in a large fleet, only those used recently."""
         if self.candidates.is_small(role):
             return self.candidates.usable((role,))
         recent = self.candidates.index.recently_used(role, MAX_CANDIDATES)
         return [endpoint for endpoint in recent if self.candidates.accepts(endpoint, NO_TENANT_CLASS)]
 
     def _reported_endpoints(self, request: TrackedRequest) -> list[EndpointState]:
-        """Return the endpoints whose load reports say how long a request would wait for its prefill.
+        """Return the endpoints whose load reports are used to estimate the wait for a prefill.
 
-        That is the one that it would go to. While others may still be probed there is none; once all that
-        were probed have queues, they stand for the rest."""
+        This is the best prefill endpoint if it has a recent load report. Otherwise the list is empty while
+        more endpoints may be probed. After MAX_PROBES probes, it contains all probed endpoints."""
         first = self.prefill_selection.first(request)
         if first is not None and self.load_probes.has_report(first):
             return [first]
         return request.probed_endpoints if len(request.probed_endpoints) >= MAX_PROBES else []
 
     def _max_wait_share(self, request: TrackedRequest) -> float:
-        """Return the share of the latency objective that a request may wait."""
+        """Return the maximum wait of a request, as a share of its latency objective."""
         share = MAX_WAIT_SHARE_OVER_QUOTA if self._is_over_quota(request) else MAX_WAIT_SHARE
-        return share * RETRY_FACTOR if request.received.is_retry else share
+        return share * RETRY_WAIT_FACTOR if request.received.is_retry else share
 
     def _is_over_quota(self, request: TrackedRequest) -> bool:
-        """Return whether a tenant is above its quota, if all instances receive as much of it as this one."""
+        """Return whether a tenant is over its quota, assuming equal request rates at all router instances."""
         tenant = request.received.tenant or ""
         quota = self._quotas.get(tenant)
         if not quota:
--- a/llm_router/routing/gossip.py
+++ b/llm_router/routing/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: applies symptoms of endpoints, met here or at other router instances, and shares those met here."""
+"""Gossip between router instances about symptoms of endpoints, such as failures and overload."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 from llm_router.routing.settings import Settings
 from llm_router.routing.statistics import RECENT_SPAN
 
-MAX_AVOIDANCE = 120 * SECOND  # nanoseconds for which a symptom met here counts at most
-MIN_GOSSIP_SHARE = 0.5  # of RECENT_SPAN for which gossip counts at least; the rest is random
+MAX_LOCAL_SYMPTOM_TIME = 120 * SECOND  # longest effect of a symptom observed by this router, in nanoseconds
+# The effect of a symptom received as gossip lasts for a random time of at most RECENT_SPAN. This share of
+# RECENT_SPAN is the lower end of the random range.
+MIN_RECEIVED_SYMPTOM_SHARE = 0.5
 
 
 class Gossip:
-    """Notes symptoms of endpoints and sends them to the other router instances.
+    """The exchange of endpoint symptoms between router instances.
 
-    Without it, each of many instances would lose a request at each failed endpoint. What others report fades
-    soon and at a random moment, so that a few instances try again. An endpoint that failed for a moment only
-    is avoided for longer than needed."""
+    Without gossip, each router instance would lose a request at each failed endpoint. The effect of a
+    received symptom ends soon and at a random time, so that a few router instances try the endpoint again
+    first. As a drawback, an endpoint that failed only briefly is avoided for longer than necessary."""
 
     def __init__(
         self,
@@ -41,29 +43,35 @@
     def report(
         self, symptom: Symptom, endpoint: EndpointState, tenant_class: TenantClass | None = None
     ) -> None:
-        """Apply a symptom met here and share it; `tenant_class` is given with Symptom.OVERLOADED."""
-        self._apply(symptom, endpoint, tenant_class, MAX_AVOIDANCE)
+        """Apply a symptom that this router observed, and send it to other routers if gossip is enabled.
+
+        `tenant_class` is given with `Symptom.OVERLOADED` only."""
+        self._apply(symptom, endpoint, tenant_class, MAX_LOCAL_SYMPTOM_TIME)
         if self.context.settings.gossip and tenant_class in self.tenant_classes:
             index = self.tenant_classes.index(tenant_class)
             message = SymptomMessage(symptom, endpoint.endpoint_id, index)
             self.context.emit(SendGossip(None, message.encode()))
 
     def receive(self, event: GossipReceived) -> None:
-        """Apply a symptom that another router instance met; ignore what cannot be decoded or applied."""
+        """Apply a symptom reported by another router instance.
+
+        Ignore messages that cannot be decoded or that name an unknown endpoint, tenant or class."""
         message = SymptomMessage.decode(event.data)
         if message is None or message.tenant_class_index >= len(self.tenant_classes):
             return
         endpoint = self.index.get(message.endpoint_id)
         if endpoint is None:
             return
-        limit = RECENT_SPAN * self.context.random.uniform(MIN_GOSSIP_SHARE, 1)
+        limit = RECENT_SPAN * self.context.random.uniform(MIN_RECEIVED_SYMPTOM_SHARE, 1)
         tenant_class = self.tenant_classes[message.tenant_class_index]
         self._apply(message.symptom, endpoint, tenant_class, limit)
 
     def _apply(
         self, symptom: Symptom, endpoint: EndpointState, tenant_class: TenantClass | None, limit: float
     ) -> None:
-        """Apply a symptom until the next attempt there would come, for `limit` nanoseconds at most."""
+        """Apply a symptom for the mean time between two attempts, but for at most `limit` nanoseconds.
+
+        `Symptom.DOWN` ejects the endpoint, for the time that outlier ejection sets."""
         until = self.context.now + round(min(self.send_rates.mean_interval(endpoint), limit))
         match symptom:
             case Symptom.OVERLOADED:
@@ -76,7 +84,9 @@
 
 
 def _tenant_classes(settings: Settings) -> list[TenantClass | None]:
-    """Return what `tenant_class_index` refers to, alike in all instances; the first means none."""
+    """Return the list that `tenant_class_index` indexes, the same in all router instances.
+
+    The first item is None, for symptoms that concern no tenant and class."""
     tenants = dict.fromkeys(tenant.name for tenant in settings.tenants)
     class_names = dict.fromkeys(request_class.name for request_class in settings.classes)
     pairs = [TenantClass(tenant, name) for tenant in (None, *tenants) for name in class_names]
--- a/llm_router/routing/gossip_codec.py
+++ b/llm_router/routing/gossip_codec.py
@@ -1,4 +1,4 @@
-"""The wire form of what router instances send one another: 10 bytes a message."""
+"""The wire format of the gossip between router instances: one message has 10 bytes."""
 
 from __future__ import annotations
 
@@ -7,35 +7,37 @@
 from struct import Struct
 from zlib import crc32
 
-VERSION = 1  # of the wire form
-BODY = Struct(">BBIH")  # version, symptom, endpoint number, tenant and class
-CHECKSUM = Struct(">H")  # the low half of the body's CRC-32
+VERSION = 1  # version number of the wire format
+BODY = Struct(">BBIH")  # version, symptom, endpoint ID, index of the tenant and class
+CHECKSUM = Struct(">H")  # the low 16 bits of the CRC-32 of the body
 
 
 class Symptom(IntEnum):
-    """What a router instance has met at an endpoint; the values are those of the wire."""
+    """A fault that a router instance observed at an endpoint; the values are those of the wire format."""
 
-    DOWN = 1  # it refused the connection or broke it
-    SLOW = 2
-    OVERLOADED = 3  # for a tenant and class
+    DOWN = 1  # The endpoint refused or broke connections, or its responses were errors.
+    SLOW = 2  # The first token of a decode attempt took much longer than usual.
+    OVERLOADED = 3  # The endpoint rejected a request of a tenant and class as overloaded.
 
 
 @dataclass(slots=True, frozen=True)
 class SymptomMessage:
-    """A symptom of an endpoint; tenant and class by their index in the order of the settings."""
+    """A gossip message with a symptom of an endpoint.
+
+    `tenant_class_index` stands for a tenant and class, in the order of the settings; 0 stands for none."""
 
     symptom: Symptom
     endpoint_id: int
     tenant_class_index: int = 0
 
     def encode(self) -> bytes:
-        """Return the message's bytes."""
+        """Encode the message to its wire format."""
         body = BODY.pack(VERSION, self.symptom, self.endpoint_id, self.tenant_class_index)
         return body + _checksum(body)
 
     @classmethod
     def decode(cls, data: bytes) -> SymptomMessage | None:
-        """Return the message, None where it is truncated, damaged or of another version."""
+        """Decode a message; return None if it is truncated, corrupted or of another version."""
         if len(data) != BODY.size + CHECKSUM.size:
             return None
         body = data[: BODY.size]
--- a/llm_router/routing/outlier_ejection.py
+++ b/llm_router/routing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: endpoints that failed get no requests for a while."""
+"""Outlier ejection, which sends no requests to a failed endpoint for a limited time."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 from llm_router.routing.duration import SECOND
 from llm_router.routing.endpoint_state import EndpointState
 
-BASE_EJECTION_TIME = SECOND  # nanoseconds, doubled with each consecutive ejection
-MAX_EJECTION_TIME = 8 * SECOND  # nanoseconds: a repaired endpoint is used again soon
+BASE_EJECTION_TIME = SECOND  # nanoseconds of the first ejection; each consecutive ejection doubles the time
+MAX_EJECTION_TIME = 8 * SECOND  # nanoseconds; the limit lets a repaired endpoint get requests again soon
 
 
 class OutlierEjection:
-    """Ejects endpoints; after its ejection time, a single request tries an endpoint again."""
+    """The ejection of endpoints; after its ejection time, an endpoint gets a single request as a test."""
 
     def __init__(self, context: PolicyContext, candidates: CandidateSubset) -> None:
         self.context = context
         self.candidates = candidates
 
     def eject(self, endpoint: EndpointState) -> bool:
-        """Eject an endpoint, for longer each time in sequence; return whether that was done."""
-        # The candidates are selected first in any case: for a large fleet that takes a random draw.
+        """Eject an endpoint that is not ejected yet, and return whether it was ejected.
+
+        Each consecutive ejection lasts longer than the one before."""
+        # In a large fleet this selection draws a random number. It is made even though the candidates are not
+        # used, so that the random sequence is the same whether or not the endpoint is ejected already.
         self.candidates.candidates((endpoint.role,))
         if self.context.now < endpoint.ejected_until:
             return False
@@ -28,7 +31,9 @@
         return True
 
     def eject_suspect(self, endpoint: EndpointState) -> bool:
-        """Eject an endpoint that may merely be loaded, if half of its role at least would remain."""
+        """Eject an endpoint that may have failed or may be under high load; return whether it was ejected.
+
+        It is ejected only if at least half of the compared endpoints of its role remain."""
         peers = self.candidates.candidates((endpoint.role,))
         if self.context.now < endpoint.ejected_until:
             return False
--- a/llm_router/routing/send_rates.py
+++ b/llm_router/routing/send_rates.py
@@ -1,4 +1,4 @@
-"""How often this router instance sends prefill and decode attempts."""
+"""The rates at which this router instance sends prefill and decode attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SendRates:
-    """Decaying counts of the attempts sent, prefill and decode apart."""
+    """Separate decaying counters of the prefill attempts and decode attempts sent."""
 
     def __init__(self, context: PolicyContext, index: EndpointIndex) -> None:
         self.context = context
@@ -19,16 +19,16 @@
         self._decode = DecayingCounter(RECENT_SPAN)
 
     def record(self, endpoint: EndpointState, *, is_prefill: bool) -> None:
-        """Count an attempt at an endpoint."""
+        """Count an attempt sent to an endpoint."""
         self._counter(is_prefill).add(self.context.now)
         self.index.mark_used(endpoint)
 
     def recent_per_endpoint(self, endpoint: EndpointState, *, is_prefill: bool) -> float:
-        """Return how many attempts of a phase each endpoint of this one's role had within RECENT_SPAN."""
+        """Return the mean number of recent attempts per endpoint, over the endpoints of the same role."""
         return self._counter(is_prefill).decay(self.context.now) / self.index.count(endpoint.role)
 
     def mean_interval(self, endpoint: EndpointState) -> int:
-        """Return the mean nanoseconds between two of our attempts at an endpoint of this one's role."""
+        """Return the mean time between attempts at each endpoint of the same role, in nanoseconds."""
         recent = self._counter(endpoint.role is Role.PREFILL).decay(self.context.now)
         return round(RECENT_SPAN * self.index.count(endpoint.role) / max(1.0, recent))
 
--- a/llm_router/routing/slow_start.py
+++ b/llm_router/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: an endpoint that started a short time ago gets a limited rate of attempts."""
+"""Slow start, which limits the rate of attempts at an endpoint that started a short time ago."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 from llm_router.routing.send_rates import SendRates
 from llm_router.routing.statistics import RECENT_SPAN
 
-SAFETY_SHARE = 0.4  # of the rate that an endpoint must withstand, over all router instances: leaves a margin
+# The router instances together use this rate_share of the rate that an endpoint in slow start can withstand.
+SAFETY_FACTOR = 0.4
 
 
 class SlowStart:
-    """Paces the attempts at endpoints in slow start.
+    """The rate limiter of attempts at endpoints in slow start.
 
-    Each begins at a random moment, so that the router instances do not all send at the same time."""
+    The first attempt at an endpoint is delayed by a random time, so that the router instances do not all send
+    their attempts at the same moment."""
 
     def __init__(self, context: PolicyContext, send_rates: SendRates) -> None:
         self.context = context
         self.send_rates = send_rates
 
     def admit(self, endpoint: EndpointState, *, is_prefill: bool) -> bool:
-        """Return whether an endpoint may have an attempt now, and if so delay its next one."""
+        """Return whether an attempt may be sent to an endpoint now; if so, set the time of the next one."""
         if not self._is_limited(endpoint):
             return True
         now = self.context.now
@@ -40,11 +42,11 @@
         return self.context.now < started_at + settings.slow_start_window
 
     def _interval(self, endpoint: EndpointState, is_prefill: bool) -> int:
-        """Return the nanoseconds between two attempts at an endpoint in slow start."""
+        """Return the minimum time between two attempts at an endpoint in slow start, in nanoseconds."""
         settings = self.context.settings
         rate = self.send_rates.recent_per_endpoint(endpoint, is_prefill=is_prefill)
         if not rate:
             return settings.slow_start_window
-        withstood = min(1.0, settings.slow_start_share * (settings.overload_factor or 0.0))
-        share = withstood * SAFETY_SHARE
-        return round(RECENT_SPAN / (rate * share))
+        max_rate_share = min(1.0, settings.slow_start_share * (settings.overload_factor or 0.0))
+        rate_share = max_rate_share * SAFETY_FACTOR
+        return round(RECENT_SPAN / (rate * rate_share))
