--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: requests that would be late are rejected."""
+"""Admission control, which rejects requests that would be late."""
 
 import pytest
 from policy_harness import (
@@ -19,7 +19,7 @@
 from llm_router.routing.events import AttemptStatus
 
 
-def test_cancelled_prefills_count_as_queueing_delay():
+def test_time_of_cancelled_prefills_counts_as_queueing_delay():
     harness = PolicyHarness(append_prefill=False)
     for number in range(6):
         harness.submit(f"r{number}")
@@ -48,7 +48,7 @@
     assert [a.retry_after for a in harness.actions_of(actions.RejectRequest)] == [2 * S]
     harness.policy.endpoints[DECODE_B].ejected_until = harness.now + 9 * S
     harness.submit("r2")
-    # At most as long as clients wait:
+    # The advised time is at most the maximum in the settings.
     assert [a.retry_after for a in harness.actions_of(actions.RejectRequest)] == [3 * S]
 
 
@@ -69,7 +69,7 @@
     assert harness.attempted_endpoints() == [] and harness.final_answers() == [actions.RejectRequest]
 
 
-def test_tenant_over_quota_is_rejected_first():
+def test_tenant_over_quota_is_rejected_at_shorter_queues():
     answers = {}
     for tenant in ("small", "large"):
         harness = PolicyHarness(append_prefill=False)
@@ -86,8 +86,8 @@
     ("delay", "is_retry", "advised"),
     [
         (600 * MS, False, []),  # accepted
-        (600 * MS, True, [0]),  # another router may take it
-        (1000 * MS, False, [4]),  # advised to wait for what is past the limit
+        (600 * MS, True, [0]),  # rejected, because another router may have capacity
+        (1000 * MS, False, [4]),  # advised to wait for the part of the delay above the limit
         (1000 * MS, True, [4]),
     ],
 )
@@ -107,9 +107,9 @@
     assert harness.attempted_endpoints() == [] and harness.final_answers() == [actions.RejectRequest]
 
 
-def test_denied_reservations_reject_new_requests_until_they_fade():
+def test_denied_reservations_reject_new_requests_until_their_count_decays():
     harness = harness_with_denied_reservations()
     harness.submit("late")
     assert harness.attempted_endpoints() == [] and harness.final_answers() == [actions.RejectRequest]
-    harness.submit("later", after=6 * S)  # the denials have faded: the decode endpoints are tried anew
+    harness.submit("later", after=6 * S)  # The count of denials has decayed.
     assert len(harness.attempted_endpoints()) == 1 and harness.final_answers() == []
--- a/tests/routing/test_append_prefill.py
+++ b/tests/routing/test_append_prefill.py
@@ -1,4 +1,4 @@
-"""Later turns that are prefilled where they are decoded."""
+"""Choice between append-prefill and remote prefill for the later turns of a session."""
 
 from itertools import product
 
@@ -24,12 +24,12 @@
 pytestmark = pytest.mark.usefixtures("no_exploration")
 
 
-def set_averages(harness, append, usual):
+def set_averages(harness, append, remote):
     """Set the averages of both paths, as (first token, token interval), in every workload bucket."""
     averages = harness.policy.append_prefill.averages
-    for bucket in product((False, True), repeat=3):
-        workload = WorkloadBucket(*bucket)
-        for is_append, values in ((True, append), (False, usual)):
+    for flags in product((False, True), repeat=3):
+        workload = WorkloadBucket(*flags)
+        for is_append, values in ((True, append), (False, remote)):
             averages[PathKey(workload, is_append)] = PathAverages(*map(MovingAverage, values))
 
 
@@ -61,26 +61,26 @@
 
 
 @pytest.mark.parametrize(
-    ("append", "usual", "is_append"),
+    ("append", "remote", "is_append"),
     [
-        ((50 * MS, 10 * MS), (100 * MS, 10 * MS), True),  # first tokens sooner, same token interval
-        ((100 * MS, 10 * MS), (50 * MS, 10 * MS), False),  # first tokens later
-        (
-            (50 * MS, 20 * MS),
-            (100 * MS, 10 * MS),
-            False,
-        ),  # half the time to the first token, but twice the interval: 0.5 - 1
-        ((50 * MS, 14 * MS), (100 * MS, 10 * MS), True),  # 0.5 - 0.4
+        # The first token comes sooner with append-prefill, and the token interval is equal.
+        ((50 * MS, 10 * MS), (100 * MS, 10 * MS), True),
+        # The first token comes later with append-prefill.
+        ((100 * MS, 10 * MS), (50 * MS, 10 * MS), False),
+        # Append-prefill halves the time to the first token but doubles the token interval: score 0.5 - 1.
+        ((50 * MS, 20 * MS), (100 * MS, 10 * MS), False),
+        # Append-prefill halves the time to the first token, with a 40% longer token interval: score 0.5 - 0.4.
+        ((50 * MS, 14 * MS), (100 * MS, 10 * MS), True),
     ],
 )
-def test_score_decides_when_all_averages_are_known(append, usual, is_append):
+def test_score_decides_between_the_paths_when_all_averages_are_known(append, remote, is_append):
     harness, decode_endpoint = harness_with_affinity()
-    set_averages(harness, append, usual)
+    set_averages(harness, append, remote)
     harness.submit("r2", **LATER_TURN)
     assert (harness.attempted_endpoints() == [decode_endpoint]) is is_append
 
 
-def test_exploration_share_is_prefilled_remotely(monkeypatch):
+def test_later_turn_selected_for_exploration_is_prefilled_remotely(monkeypatch):
     harness, _ = harness_with_affinity()
     set_averages(harness, (50 * MS, 10 * MS), (100 * MS, 10 * MS))
     monkeypatch.setattr(append_prefill, "EXPLORATION_SHARE", 1.0)
@@ -88,7 +88,7 @@
     assert harness.attempted_endpoints()[0] in (PREFILL_A, PREFILL_B)
 
 
-def test_answers_update_both_averages_of_their_path():
+def test_answer_updates_both_averages_of_its_path():
     harness = PolicyHarness()
     harness.submit("r1", **LATER_TURN)
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], "r1", after=30 * MS)
--- a/tests/routing/test_decode_selection.py
+++ b/tests/routing/test_decode_selection.py
@@ -1,11 +1,11 @@
-"""The choice of a decode endpoint."""
+"""Selection of a decode endpoint by memory, cell and random order."""
 
 from policy_harness import DECODE_A, DECODE_B, FLEET, PREFILL_A, PREFILL_B, PolicyHarness, entry
 
 from llm_router.routing.events import AttemptStatus
 
 
-def test_full_decode_endpoint_is_skipped_for_another_cell(harness):
+def test_full_decode_endpoint_is_skipped_for_one_in_another_cell(harness):
     harness.submit()
     prefill_endpoint = harness.attempted_endpoints()[0]
     same_cell = {PREFILL_A: DECODE_A, PREFILL_B: DECODE_B}[prefill_endpoint]
--- a/tests/routing/test_determinism.py
+++ b/tests/routing/test_determinism.py
@@ -1,4 +1,7 @@
-"""The same events with the same seed give the same actions."""
+"""The policy is deterministic: the same events and the same seed give the same actions.
+
+The test guards against decisions that depend on the iteration order of sets, which varies between processes.
+"""
 
 import os
 import subprocess
--- a/tests/routing/test_gossip.py
+++ b/tests/routing/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: symptoms of endpoints that router instances send one another."""
+"""Gossip between router instances about slow, overloaded and failed endpoints."""
 
 from policy_harness import FLEET, MS, PREFILL_A, PREFILL_B, PolicyHarness, S, entry
 
@@ -8,7 +8,9 @@
 
 
 def harness_with_slow_endpoint(**changes):
-    """Serve requests, the last with a slow first step; return the harness, that endpoint and the gossip."""
+    """Serve 12 requests, the last with a slow first token.
+
+    Return the harness, the endpoint of the last request and the gossip sent at its first token."""
     harness = PolicyHarness(
         fleet=(FLEET[0], *(entry(200 + n, "decode") for n in range(3))), reservations=True, **changes
     )
@@ -24,7 +26,7 @@
     return harness, decode_endpoint, gossip
 
 
-def test_decode_endpoint_with_slow_first_step_is_avoided():
+def test_decode_endpoint_with_slow_first_token_is_avoided():
     harness, slow, _ = harness_with_slow_endpoint(gossip=True)
     for number in range(20):
         harness.submit(f"n{number}", session="other")
@@ -46,22 +48,22 @@
     )
     assert len(gossip) == 1 and gossip[0].recipient is None
     harness.handle(events.GossipReceived(3, gossip[0].data))
-    assert harness.actions == []  # it is not forwarded
+    assert harness.actions == []  # The gossip is not forwarded.
     for number in range(20):
         harness.submit(f"n{number}")
         assert harness.actions_of(actions.Reserve)[0].endpoint_id != slow
         harness.disconnect(f"n{number}")
 
 
-def test_gossip_of_overload_counts_for_its_tenant_and_fades():
+def test_overload_gossip_applies_to_its_tenant_only_and_expires():
     one, other = PolicyHarness(gossip=True), PolicyHarness(gossip=True)
     one.submit(tenant="small")
     prefill_endpoint = one.attempted_endpoints()[0]
     one.end_attempt(AttemptStatus.OVERLOADED, prefill_endpoint)
     message = one.actions_of(actions.SendGossip)[0].data
-    newer, noise = b"\x02" + message[1:], message[:1] + b"c" + message[2:]
-    for junk in (b"", message[:-1], message + b"x", newer, noise, bytes(len(message))):
-        other.handle(events.GossipReceived(0, junk))
+    other_version, corrupted = b"\x02" + message[1:], message[:1] + b"c" + message[2:]
+    for invalid in (b"", message[:-1], message + b"x", other_version, corrupted, bytes(len(message))):
+        other.handle(events.GossipReceived(0, invalid))
     other.submit("before", tenant="small", session="r")
     assert other.attempted_endpoints() == [prefill_endpoint]
     other.disconnect("before")
@@ -87,7 +89,7 @@
     assert other.attempted_endpoints() == [PREFILL_A + PREFILL_B - prefill_endpoint]
 
 
-def test_overload_for_one_tenant_leaves_the_endpoint_to_others():
+def test_endpoint_overloaded_for_one_tenant_still_serves_others():
     harness = PolicyHarness(tenants=(TenantSettings("a"), TenantSettings("b")))
     harness.submit("r1", session="p", tenant="a")
     first = harness.attempted_endpoints()[0]
--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""Choices in fleets of any size: the rules of small ones hold, at a cost that does not grow."""
+"""Endpoint selection in large fleets: the same rules as in small fleets, at a cost that does not grow."""
 
 import random
 
@@ -15,8 +15,8 @@
 from llm_router.routing.queueing_delay import QueueingDelays
 from llm_router.routing.settings import Role
 
-CELL = 6
-SIZES = [20, 100, 400, 1600]
+CELL = 6  # endpoints per cell
+SIZES = [20, 100, 400, 1600]  # endpoints per fleet
 
 
 ALL_KINDS = ("prefill", "decode", "prefill", "decode", "prefill", "mixed")
@@ -32,7 +32,7 @@
 
 
 def full_ring_order(policy, key):
-    """Sort all points of all prefill endpoints, and return each endpoint once from the key's position."""
+    """Return the IDs of all prefill endpoints in ring order from a key, computed by sorting all points."""
     points = sorted(
         (stable_hash(f"{endpoint.entry.endpoint_id} {n}"), endpoint.entry.endpoint_id)
         for endpoint in policy.endpoints.ready(PREFILL_ROLES)
@@ -45,10 +45,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_prefill_goes_to_the_first_endpoint_of_a_full_ring(size, seed):
-    harness, draw = PolicyHarness(fleet_of(size), seed=seed, router_count=200), random.Random(seed)
+def test_prefill_goes_to_the_first_endpoint_in_the_order_of_all_ring_points(size, seed):
+    harness, rng = PolicyHarness(fleet_of(size), seed=seed, router_count=200), random.Random(seed)
     for number in range(30):
-        prefix = f"p{draw.randrange(1000)}"
+        prefix = f"p{rng.randrange(1000)}"
         order = full_ring_order(harness.policy, prefix)
         harness.submit(f"r{number}", prefix=prefix, after=S)
         assert harness.attempted_endpoints()[0] == order[0]
@@ -57,13 +57,13 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_ring_updated_incrementally_equals_a_rebuilt_one(size, seed):
-    harness, draw = PolicyHarness(fleet_of(size), seed=seed), random.Random(seed)
+    harness, rng = PolicyHarness(fleet_of(size), seed=seed), random.Random(seed)
     for number in range(40):
-        status = draw.choice([EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-        old = draw.randrange(size)
+        status = rng.choice([EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+        old = rng.randrange(size)
         changed = events.EndpointEntry(old, fleet_of(1, old)[0].kind, "z", old // CELL, status)
         new = fleet_of(1, size + number)
-        entries = (changed, *(new if draw.random() < 0.5 else ()))
+        entries = (changed, *(new if rng.random() < 0.5 else ()))
         harness.handle(events.EndpointListUpdate(entries, is_full=False), after=S)
     policy, rebuilt = harness.policy, HashRing()
     for endpoint in policy.endpoints.ready(PREFILL_ROLES):
@@ -73,13 +73,13 @@
 
 
 def test_decode_endpoint_of_lowest_cost_is_chosen_among_those_compared(size):
-    """In a large fleet a better one may exist outside the subset, but not in the prefill's own cell."""
+    """In a large fleet, all decode endpoints of the prefill endpoint's cell are compared."""
     harness = PolicyHarness(fleet_of(size, kinds=("prefill", "decode")), router_count=200, reservations=False)
     policy = harness.policy
     selection = policy.decode_selection
-    draw = random.Random(5)
+    rng = random.Random(5)
     for endpoint in policy.endpoints.ready(DECODE_ROLES):
-        endpoint.committed_tokens = draw.randrange(100_000)
+        endpoint.committed_tokens = rng.randrange(100_000)
     for number in range(20):
         harness.submit(f"r{number}", after=S)
         harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], f"r{number}")
@@ -88,7 +88,7 @@
         is_small = size <= MAX_CANDIDATES
         compared = policy.endpoints.ready(DECODE_ROLES) if is_small else selection.compared(request)
         assert len(compared) <= MAX_CANDIDATES + CELL
-        chosen.committed_tokens -= 2200  # as it was before this request
+        chosen.committed_tokens -= 2200  # the value before this request
         best = min(compared, key=lambda endpoint: selection.cost(request, endpoint))
         assert selection.cost(request, chosen) <= selection.cost(request, best) + 1e-9
         same_cell = policy.endpoints.by_cell[request.prefill_target.entry.cell]
@@ -104,7 +104,7 @@
     endpoint_ids = [{endpoint.entry.endpoint_id for endpoint in subset} for subset in subsets]
     used = set().union(*endpoint_ids)
     decode_count = policies[0].endpoints.count(*DECODE_ROLES)
-    assert len(used) > 0.97 * decode_count, "each decode endpoint is in some subset"
+    assert len(used) > 0.97 * decode_count, "nearly all decode endpoints are in a subset"
     assert endpoint_ids[0] != endpoint_ids[100]
 
 
@@ -127,7 +127,7 @@
     assert len(harness.attempted_endpoints()) == 1
 
 
-COUNTED = (
+COUNTED_METHODS = (
     (CandidateSubset, "accepts"),
     (QueueingDelays, "delay"),
     (DecodeSelection, "cost"),
@@ -136,18 +136,18 @@
 
 
 def count_visits(size, monkeypatch):
-    """Return how often endpoints are examined for 20 requests, and for 20 updates of the endpoint list."""
+    """Return how often endpoints are visited for 20 requests, and for 20 updates of the endpoint list."""
     harness, visits = PolicyHarness(fleet_of(size), router_count=200), [0]
 
-    def counted(method):
+    def count_calls(method):
         def call(*arguments):
             visits[0] += 1
             return method(*arguments)
 
         return call
 
-    for owner, name in COUNTED:
-        monkeypatch.setattr(owner, name, counted(getattr(owner, name)))
+    for owner, name in COUNTED_METHODS:
+        monkeypatch.setattr(owner, name, count_calls(getattr(owner, name)))
     for number in range(20):
         harness.submit(f"r{number}", prefix=f"p{number}", after=100 * MS)
         harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], f"r{number}")
--- a/tests/routing/test_load_probes.py
+++ b/tests/routing/test_load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes before a prefill."""
+"""Load probes, which ask prefill endpoints for their load before a prefill is sent."""
 
 from policy_harness import FOUR_PREFILL_FLEET, MS, PolicyHarness, S
 
@@ -7,7 +7,7 @@
 
 
 def answer_probe(harness, status=AttemptStatus.OK, after=3 * MS, queued_thousands=None):
-    """Answer the one probe that is out and return the endpoint that was probed."""
+    """Answer the only unanswered load probe and return the ID of the probed endpoint."""
     (probe,) = harness.actions_of(actions.ProbeLoad)
     report = LoadReport(queued_prompt_tokens=queued_thousands and 1000 * queued_thousands)
     harness.handle(events.LoadProbeEnded(probe.endpoint_id, status, after, report), after)
@@ -15,29 +15,29 @@
 
 
 def harness_with_known_speed(**changes):
-    """Return a harness whose router knows the speed of prefill endpoints."""
+    """Return a harness whose router has measured the prefill speed."""
     harness = PolicyHarness(fleet=FOUR_PREFILL_FLEET, load_probes=True, **changes)
     harness.submit("first")
     prefill_endpoint = answer_probe(harness, queued_thousands=0.0)
     assert harness.attempted_endpoints() == [prefill_endpoint]
-    # 2000 tokens in 0.1 s: 20,000 a second
+    # 2000 tokens in 0.1 s are 20,000 tokens per second.
     harness.end_attempt(AttemptStatus.PREFILLED, prefill_endpoint, "first", after=100 * MS)
     harness.disconnect("first")
     harness.now += S
     return harness
 
 
-def test_reported_queue_moves_a_request_along_the_ring():
+def test_reported_queue_sends_a_request_to_the_next_endpoint_on_the_ring():
     harness = harness_with_known_speed()
     harness.submit("r")
-    assert harness.attempted_endpoints() == [], "the report of its home comes first"
-    home = answer_probe(harness, queued_thousands=12.0)  # 0.6 s of prefill, none of it ours
+    assert harness.attempted_endpoints() == [], "the request waits for the load report of its first endpoint"
+    first = answer_probe(harness, queued_thousands=12.0)  # 0.6 s of prefill for other routers
     assert harness.attempted_endpoints() == []
-    next_one = answer_probe(harness, queued_thousands=0.5)
-    assert next_one != home and harness.attempted_endpoints() == [next_one]
+    second = answer_probe(harness, queued_thousands=0.5)
+    assert second != first and harness.attempted_endpoints() == [second]
     harness.submit("r2", after=100 * MS, session="r")
-    assert harness.attempted_endpoints() == [next_one] and not harness.actions_of(actions.ProbeLoad), (
-        "the reports still hold"
+    assert harness.attempted_endpoints() == [second] and not harness.actions_of(actions.ProbeLoad), (
+        "the load reports are still recent"
     )
 
 
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: endpoints that fail get no requests for a while."""
+"""Outlier ejection, which sends no requests to a failed endpoint for a limited time."""
 
 from policy_harness import (
     FOUR_PREFILL_FLEET,
@@ -16,7 +16,7 @@
 from llm_router.routing.settings import Role
 
 
-def test_failed_endpoint_is_ejected_then_tried_by_one_request(harness):
+def test_failed_endpoint_gets_a_single_request_after_its_ejection(harness):
     first = submit_to_home(harness)
     harness.end_attempt(AttemptStatus.CONNECT_FAILED, first, "home", after=200 * MS)
     other = PREFILL_A + PREFILL_B - first
@@ -31,12 +31,12 @@
     assert harness.attempted_endpoints() == [other]
 
 
-def test_single_reset_or_stale_connections_eject_no_endpoint():
+def test_single_reset_or_stale_connections_do_not_eject_an_endpoint():
     harness = PolicyHarness(fleet=FOUR_PREFILL_FLEET)
     first = submit_to_home(harness)
     harness.end_attempt(AttemptStatus.RESET, first, "home", after=2 * MS)
     assert harness.attempted_endpoints() and harness.attempted_endpoints() != [first], (
-        "yet the next attempt goes elsewhere"
+        "the next attempt goes to another endpoint"
     )
     for number in range(4):
         harness.submit(f"r{number}", session="p")
@@ -52,7 +52,7 @@
     harness.end_attempt(AttemptStatus.RESET, first, "again", after=2 * MS)
     harness.submit("more", session="p")
     assert harness.attempted_endpoints() and harness.attempted_endpoints() != [first], (
-        "two consecutive ones of new connections are another matter"
+        "two consecutive resets of new connections eject the endpoint"
     )
 
 
@@ -78,11 +78,11 @@
     first = submit_to_home(harness)
     harness.end_attempt(AttemptStatus.ERROR, first, "home")
     assert harness.attempted_endpoints() and harness.attempted_endpoints() != [first], (
-        "the next attempt goes elsewhere"
+        "the next attempt goes to another endpoint"
     )
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], "home", 1)
     harness.submit("again", session="p")
-    assert harness.attempted_endpoints() == [first], "one error alone ejects no endpoint"
+    assert harness.attempted_endpoints() == [first], "a single error does not eject the endpoint"
     harness.end_attempt(AttemptStatus.ERROR, first, "again")
     harness.submit("third", session="p")
     assert harness.attempted_endpoints() and harness.attempted_endpoints() != [first]
--- a/tests/routing/test_prefill_overflow.py
+++ b/tests/routing/test_prefill_overflow.py
@@ -1,4 +1,4 @@
-"""Prefill at decode endpoints where prefill endpoints are overloaded or gone."""
+"""Prefill at decode endpoints if the prefill endpoints are overloaded, failed or missing."""
 
 from policy_harness import (
     DECODE_A,
--- a/tests/routing/test_prefill_ring.py
+++ b/tests/routing/test_prefill_ring.py
@@ -1,4 +1,4 @@
-"""The points of endpoints on the prefill ring."""
+"""The number of points that endpoints have on the prefill hash ring."""
 
 import pytest
 from policy_harness import FLEET, MIXED, PREFILL_A, PolicyHarness, entry
--- a/tests/routing/test_prefill_selection.py
+++ b/tests/routing/test_prefill_selection.py
@@ -1,4 +1,4 @@
-"""The choice of a prefill endpoint by prefix, session and load."""
+"""Selection of a prefill endpoint by prefix, session and load."""
 
 from policy_harness import FLEET, MS, PREFILL_A, PREFILL_B, PolicyHarness, S, entry
 
@@ -21,7 +21,8 @@
 def test_loaded_prefill_endpoint_spills_over_in_ring_order():
     fleet = tuple(entry(100 + n, "prefill") for n in range(4)) + FLEET[2:]
     harness = PolicyHarness(fleet=fleet)
-    harness.policy.estimates.tokens_per_second = 10_000.0  # a quarter of the latency objective: 2,500 tokens
+    # At this speed, the load bound of a quarter of the latency objective is 2,500 tokens.
+    harness.policy.estimates.tokens_per_second = 10_000.0
     order = [endpoint.entry.endpoint_id for endpoint in harness.policy.prefill_ring.ring.walk("p7")]
     sent = []
     for number in range(5):
@@ -30,7 +31,7 @@
     assert sent[:5] == [order[0], order[0], order[1], order[1], order[2]]
 
 
-def test_popular_prefix_has_several_replicas():
+def test_only_a_popular_prefix_has_several_replicas():
     fleet = tuple(entry(100 + n, "prefill") for n in range(20)) + FLEET[2:]
     endpoints = {
         PolicyHarness(fleet=fleet, seed=seed).submit("r", prefix="p")[-1].endpoint_id for seed in range(10)
@@ -52,13 +53,13 @@
             for number in range(times):
                 harness.submit(f"{prefix}{number}", prefix=prefix, after=100 * MS)
                 harness.disconnect(f"{prefix}{number}")
-    same = 0
+    agreements = 0
     for number in range(60):
         chosen = {
             harness.submit(f"s{number}", prefix="p") and harness.attempted_endpoints()[0]
             for harness in (few, many)
         }
-        same += len(chosen) == 1
+        agreements += len(chosen) == 1
         for harness in (few, many):
             harness.disconnect(f"s{number}")
-    assert same > 36
+    assert agreements > 36
--- a/tests/routing/test_queueing_delay.py
+++ b/tests/routing/test_queueing_delay.py
@@ -1,11 +1,11 @@
-"""Estimates of queueing delays."""
+"""Estimates of the queueing delay at an endpoint."""
 
 from policy_harness import MS, PREFILL_A, S
 
 from llm_router.routing.events import AttemptStatus
 
 
-def test_queueing_delay_fades_while_old_streams_end(harness):
+def test_measured_queueing_delay_decays_to_zero(harness):
     harness.serve("r1")
     harness.submit("r2")
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0], "r2")
@@ -16,7 +16,7 @@
     assert harness.policy.delays.delay(harness.policy.endpoints[decode_endpoint]) == 0
 
 
-def test_prefill_faster_than_estimated_leaves_no_queueing_delay(harness):
+def test_prefill_faster_than_estimated_gives_no_queueing_delay(harness):
     endpoint = harness.policy.endpoints[PREFILL_A]
     endpoint.queueing_delay, endpoint.queueing_delay_at = -300 * MS, harness.now
     for after in (0, S, 20 * S, 2000 * S):
