--- a/llm_router/routing/admission.py
+++ b/llm_router/routing/admission.py
@@ -23,8 +23,7 @@
 MAX_WAIT_SHARE_OVER_QUOTA = 0.4
 # The factor on both limits for a request that is a client's retry. Another router instance may have capacity.
 RETRY_WAIT_FACTOR = 0.5
-# If no endpoint has a required role, the first one is assumed to be available this many nanoseconds after the
-# last useful time of the request.
+# If no endpoint has a required role, one is expected this many nanoseconds after the maximum wait.
 NO_ENDPOINT_DELAY = SECOND
 
 
@@ -65,7 +64,7 @@
         return wait > self._max_wait_share(request) * objective
 
     def no_endpoint_in_time(self, request: TrackedRequest) -> bool:
-        """Return whether a phase of a request has no available endpoint until the request would be late.
+        """Return whether a phase of a request gets no available endpoint before the request would be late.
 
         This is the case if all endpoints of a phase are removed, ejected or overloaded. The client is then
         advised to retry when the first endpoint becomes available."""
@@ -115,7 +114,7 @@
         return wait + all_denied * request.latency_objective
 
     def _phase_endpoints(self, request: TrackedRequest) -> list[list[EndpointState]]:
-        """Return, by remaining phase, the endpoints whose queueing delays are used to estimate the wait."""
+        """Return the endpoints whose queueing delays determine the expected wait, one list per phase."""
         if request.append_endpoint is not None:
             return [[request.append_endpoint]]
         if request.probed_endpoints:
@@ -132,7 +131,7 @@
         return [endpoint for endpoint in recent if self.candidates.accepts(endpoint, NO_TENANT_CLASS)]
 
     def _reported_endpoints(self, request: TrackedRequest) -> list[EndpointState]:
-        """Return the endpoints whose load reports are used to estimate the wait for a prefill.
+        """Return the endpoints whose load reports determine the expected wait for a prefill.
 
         This is the best prefill endpoint if it has a recent load report. Otherwise the list is empty while
         more endpoints may be probed. After MAX_PROBES probes, it contains all probed endpoints."""
--- a/llm_router/routing/append_prefill.py
+++ b/llm_router/routing/append_prefill.py
@@ -21,14 +21,14 @@
 # The weights of the two relative gains in the score have no unit. They are equal in the PPD paper.
 FIRST_TOKEN_WEIGHT = 1.0
 TOKEN_INTERVAL_WEIGHT = 1.0
-# Append-prefill requires a smaller share of new tokens in the prompt than this. A longer prefill would delay
-# the streams at the decode endpoint.
+# Append-prefill requires a smaller share of new tokens in the prompt than this.
+# A longer prefill would delay the streams at the decode endpoint.
 MAX_NEW_TOKEN_SHARE = 0.25
-# Append-prefill requires that the endpoint has at most this multiple of the median number of streams.
+# Append-prefill requires that the endpoint has at most this multiple of the median streams per endpoint.
 MAX_STREAMS_FACTOR = 2.0
 # While an average has no sample, append-prefill requires fewer new tokens than this.
 MAX_NEW_TOKENS_UNMEASURED = 2000
-# The probability that a request chosen for append-prefill is prefilled remotely, to update those averages.
+# The probability that a remote prefill replaces an append-prefill, to update the averages of remote prefill.
 EXPLORATION_SHARE = 0.03
 
 
@@ -84,7 +84,7 @@
         """Record the token interval of a finished answer, and detect a lost cache at the endpoint.
 
         If less than half of the prefix was cached for an append-prefill, the cache was probably flushed, lost
-        in a restart or full. The affinities of all earlier sessions at the endpoint are then ignored, even
+        in a restart or full. The affinities of all previous sessions at the endpoint are then ignored, even
         though possibly only this session was evicted."""
         if request.first_token_at is not None:
             elapsed = self.context.now - request.first_token_at
@@ -124,7 +124,7 @@
         return self.averages.setdefault(key, PathAverages())
 
     def _workload(self, request: TrackedRequest) -> WorkloadBucket:
-        """Return the workload bucket of a request, computed at the first call and then kept."""
+        """Return the workload bucket of a request, which is computed once per request."""
         if request.workload is None:
             endpoints = self.candidates.candidates(DECODE_ROLES)
             load = sum(endpoint.streams for endpoint in endpoints) / max(1, len(endpoints))
@@ -138,7 +138,7 @@
 
 
 def _relative_gain(append: MovingAverage, remote: MovingAverage) -> float:
-    """Return the reduction by append-prefill, as a share of the average of remote prefill."""
+    """Return by what share the average of append-prefill is lower than that of remote prefill."""
     append_value = append.value or 0.0
     remote_value = remote.value or 0.0
     return (remote_value - append_value) / max(1, remote_value)
--- a/llm_router/routing/candidate_subset.py
+++ b/llm_router/routing/candidate_subset.py
@@ -11,11 +11,9 @@
 from llm_router.routing.hash_ring import HashRing
 from llm_router.routing.settings import Role
 
-# The number of endpoints compared for one phase of a request. It bounds the cost of a selection in large
-# fleets.
+# The maximum number of endpoints compared for one phase of a request, which bounds the cost in large fleets.
 MAX_CANDIDATES = 64
-# Decode subsets are used only if the average decode endpoint is in the subsets of at least this many router
-# instances.
+# Decode subsets are used only if a decode endpoint is in at least this many of them on average.
 MIN_SUBSETS_PER_ENDPOINT = 2
 # The number of random bits in the offset of a sample, so that the offset exceeds the step between its items.
 RANDOM_OFFSET_BITS = 16
@@ -38,7 +36,7 @@
             self._decode_ring.set_points(endpoint, int(is_ready and endpoint.role in DECODE_ROLES))
 
     def is_small(self, *roles: Role) -> bool:
-        """Return whether few enough `READY` endpoints have the given roles to compare all of them."""
+        """Return whether at most MAX_CANDIDATES `READY` endpoints have one of the given roles."""
         return self.index.count(*roles) <= MAX_CANDIDATES
 
     def candidates(self, roles: tuple[Role, ...]) -> list[EndpointState]:
@@ -76,7 +74,7 @@
 
         A subset improves connection reuse: a router that sends to fewer decode endpoints more often has an
         idle connection to the selected one. The subsets come from a hash ring, which gives the endpoints
-        similar load. If there are too few router instances to cover a large fleet, there is no subset."""
+        similar load. The list is empty if there are too few router instances to cover a large fleet."""
         decode_count = self.index.count(*DECODE_ROLES)
         if decode_count * MIN_SUBSETS_PER_ENDPOINT > MAX_CANDIDATES * self.context.settings.router_count:
             return []
--- a/llm_router/routing/decode_selection.py
+++ b/llm_router/routing/decode_selection.py
@@ -10,8 +10,8 @@
 from llm_router.routing.queueing_delay import QueueingDelays
 from llm_router.routing.tracked_request import TrackedRequest
 
-# The costs have no unit. A cost of 1 equals that of a full KV memory, or of a queueing delay as long as the
-# latency objective.
+# The costs of decode endpoints have no unit.
+# A full KV memory has a cost of 1, and so has a queueing delay as long as the latency objective.
 OTHER_CELL_COST = 0.8  # cost of a KV transfer to another cell of the same zone
 OTHER_ZONE_COST = 1.2  # cost of a KV transfer to another zone
 SLOW_COST = 1.2  # cost of an endpoint reported as slow, the same as that of another zone
--- a/llm_router/routing/endpoint_state.py
+++ b/llm_router/routing/endpoint_state.py
@@ -48,11 +48,10 @@
     open_attempts: dict[AttemptKey, Attempt] = field(default_factory=dict)
     committed_tokens: int = 0  # KV memory that this router's open decode attempts may need, in tokens
     streams: int = 0  # number of this router's open decode attempts
-    # Queueing delay of the latest prefill or first token. It is below 0 if the response came sooner than
-    # the estimated prefill time.
+    # Queueing delay of the latest prefill or first token, below 0 if it took less than the prefill estimate.
     queueing_delay: int = 0
     queueing_delay_at: int = 0
-    # Attempts sent before this time are overtaken: the endpoint has answered an attempt sent later.
+    # Attempts sent earlier than this time are overtaken: the endpoint has answered an attempt sent later.
     overtaken_before: int = 0
     last_response_at: int = 0
     consecutive_ejections: int = 0
@@ -65,7 +64,7 @@
     load_report: LoadReport = NO_REPORT
     load_report_at: int | None = None
     probe_sent_at: int | None = None  # send time of the running load probe, None if there is none
-    cache_valid_since: int = 0  # cache contents from before this time are lost
+    cache_valid_since: int = 0  # time at which the endpoint last lost the contents of its cache
     # The prefixes in the endpoint's cache, ordered by the time of their last use.
     cached_prefixes: dict[str, CachedPrefix] = field(default_factory=dict)
 
@@ -75,7 +74,7 @@
         return self.entry.endpoint_id
 
     def update_entry(self, entry: EndpointEntry, role: Role, now: int) -> None:
-        """Apply an entry of the endpoint list. If the endpoint has restarted, reset its measured state."""
+        """Apply an entry of the endpoint list; if the endpoint has restarted, reset its measurements."""
         if entry.started_at > self.entry.started_at:
             self._reset(now)
         self.entry = entry
--- a/llm_router/routing/endpoint_watch.py
+++ b/llm_router/routing/endpoint_watch.py
@@ -6,7 +6,7 @@
 from llm_router.routing.context import PolicyContext
 from llm_router.routing.duration import SECOND
 
-RESUBSCRIBE_DELAY = SECOND  # nanoseconds from a failed discovery call to the next one, so that it can recover
+RESUBSCRIBE_DELAY = SECOND  # nanoseconds after a failed discovery call, so that discovery can recover
 
 
 class EndpointWatch:
--- a/llm_router/routing/gossip.py
+++ b/llm_router/routing/gossip.py
@@ -15,8 +15,8 @@
 from llm_router.routing.statistics import RECENT_SPAN
 
 MAX_LOCAL_SYMPTOM_TIME = 120 * SECOND  # longest effect of a symptom observed by this router, in nanoseconds
-# The effect of a symptom received as gossip lasts for a random time of at most RECENT_SPAN. This share of
-# RECENT_SPAN is the lower end of the random range.
+# The effect of a symptom received as gossip lasts for a random time of at most RECENT_SPAN.
+# The minimum of that random time is this share of RECENT_SPAN.
 MIN_RECEIVED_SYMPTOM_SHARE = 0.5
 
 
--- a/llm_router/routing/hash_ring.py
+++ b/llm_router/routing/hash_ring.py
@@ -44,7 +44,7 @@
 
 
 class HashRing:
-    """A consistent hash ring of endpoints, each of which has one or more points.
+    """A consistent hash ring of endpoints, with one or more points per endpoint.
 
     Processes that give the same endpoints the same numbers of points have identical rings. Adding or removing
     a point takes logarithmic time."""
--- a/llm_router/routing/load_probes.py
+++ b/llm_router/routing/load_probes.py
@@ -21,7 +21,7 @@
     """The sender of load probes, which also records the load reports.
 
     Load reports show the queues that other router instances have filled. One of many router instances sends
-    too few requests to an endpoint to measure its queue by itself. Reports mislead if they are older than the
+    too few requests to an endpoint to measure its queue. Reports mislead if they are older than the
     time in which a queue drains."""
 
     def __init__(self, context: PolicyContext, index: EndpointIndex) -> None:
--- a/llm_router/routing/outlier_ejection.py
+++ b/llm_router/routing/outlier_ejection.py
@@ -22,8 +22,8 @@
         """Eject an endpoint that is not ejected yet, and return whether it was ejected.
 
         Each consecutive ejection lasts longer than the one before."""
-        # In a large fleet this selection draws a random number. It is made even though the candidates are not
-        # used, so that the random sequence is the same whether or not the endpoint is ejected already.
+        # In a large fleet, the selection of candidates draws a random number.
+        # Its result is not used here; the draw keeps the random sequence independent of the ejection state.
         self.candidates.candidates((endpoint.role,))
         if self.context.now < endpoint.ejected_until:
             return False
--- a/llm_router/routing/prefill_estimates.py
+++ b/llm_router/routing/prefill_estimates.py
@@ -8,7 +8,7 @@
 from llm_router.routing.statistics import MovingAverage, drop_older_than
 from llm_router.routing.tracked_request import TrackedRequest
 
-# The factor by which each prefill lowers the recorded peak speed, so that it can follow slower endpoints.
+# The factor on the recorded peak prefill speed at each prefill, so that an outdated peak decays.
 PEAK_SPEED_DECAY = 0.98
 
 
--- a/llm_router/routing/prefill_ring.py
+++ b/llm_router/routing/prefill_ring.py
@@ -11,13 +11,13 @@
 from llm_router.routing.hash_ring import HashRing
 from llm_router.routing.settings import Role
 
-# The number of ring points of a prefill endpoint. More points would distribute the load more evenly, but make
-# updates of the ring more expensive.
+# The number of ring points of a prefill endpoint.
+# More points would distribute the load more evenly, but make updates of the ring more expensive.
 POINTS_PER_ENDPOINT = 16
 # A prefill endpoint with few decode endpoints in its cell keeps at least this share of POINTS_PER_ENDPOINT.
 MIN_POINTS_SHARE = 0.5
-# The role ratio of a large fleet is rounded to this many steps per doubling. All points of the ring are
-# recomputed only if the rounded ratio changes.
+# The role ratio of a large fleet is rounded to this many steps per doubling.
+# All points of the ring are recomputed only if the rounded ratio changes.
 RATIO_STEPS_PER_DOUBLING = 4
 
 
--- a/llm_router/routing/prefill_selection.py
+++ b/llm_router/routing/prefill_selection.py
@@ -19,13 +19,12 @@
 
 # The largest acceptable queueing delay at an endpoint, as a share of the latency objective.
 MAX_QUEUEING_SHARE = 0.25
-# The number of additional replicas of a prefix per unit of its request load. One unit is the mean load of an
-# endpoint.
+# The number of additional replicas of a prefix per unit of load; a unit is the mean load of an endpoint.
 REPLICAS_PER_ENDPOINT_LOAD = 4.0
 
 
 class LoadBound(NamedTuple):
-    """The load above which an endpoint is passed over for the next one on the hash ring."""
+    """The load of an endpoint above which a request goes to the next endpoint on the hash ring."""
 
     max_delay: float  # queueing delay in nanoseconds
     max_tokens: float  # prompt tokens of this router that wait for prefill at the endpoint
@@ -126,8 +125,8 @@
         if request.received.prefix:
             first = self._replica(request, request.received.prefix, self.index.count(*PREFILL_ROLES))
         if first >= MAX_CANDIDATES:
-            # Replicas with high numbers have ring positions of their own. Otherwise, the walk from the
-            # prefix's position to the replica would get longer as the fleet grows.
+            # Replicas with high numbers have ring positions of their own.
+            # Otherwise the walk from the position of the prefix would get longer as the fleet grows.
             key = f"{key} {first}"
         start = first % MAX_CANDIDATES
         walk = self.ring.walk(key)
--- a/llm_router/routing/prefix_popularity.py
+++ b/llm_router/routing/prefix_popularity.py
@@ -8,7 +8,7 @@
 
 # The nanoseconds over which requests are counted. The span equals the idle timeout of sessions.
 POPULARITY_SPAN = 120 * SECOND
-# This number is added to the count of all requests, so that the first few requests make no prefix popular.
+# This number is added to the count of all requests, so that the first requests make no prefix popular.
 PRIOR_REQUESTS = 10
 ALL_REQUESTS = ""  # key of the counter for all requests
 
--- a/llm_router/routing/slow_start.py
+++ b/llm_router/routing/slow_start.py
@@ -7,7 +7,7 @@
 from llm_router.routing.send_rates import SendRates
 from llm_router.routing.statistics import RECENT_SPAN
 
-# The router instances together use this rate_share of the rate that an endpoint in slow start can withstand.
+# The router instances together use this share of the rate that an endpoint in slow start can withstand.
 SAFETY_FACTOR = 0.4
 
 
--- a/tests/routing/test_append_prefill.py
+++ b/tests/routing/test_append_prefill.py
@@ -69,7 +69,7 @@
         ((100 * MS, 10 * MS), (50 * MS, 10 * MS), False),
         # Append-prefill halves the time to the first token but doubles the token interval: score 0.5 - 1.
         ((50 * MS, 20 * MS), (100 * MS, 10 * MS), False),
-        # Append-prefill halves the time to the first token, with a 40% longer token interval: score 0.5 - 0.4.
+        # Append-prefill halves the time to the first token; the interval is 40% longer: score 0.5 - 0.4.
         ((50 * MS, 14 * MS), (100 * MS, 10 * MS), True),
     ],
 )
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start limits the total rate of attempts of all router instances, whatever their number.
+"""Slow start limits the total rate of attempts of all router instances.
 
 The tests guard against an overload of starting endpoints to which many routers send at the same time."""
 
