--- a/llm_router/lifecycle/release_order.py
+++ b/llm_router/lifecycle/release_order.py
@@ -49,7 +49,7 @@
     Endpoints that the request used come first, in reverse order of its attempts."""
     # The start differs between requests, so that the routers do not all call the same endpoint first.
     start = crc32(request.request_id.encode())
-    others = state.endpoint_table.listed.spread(MAX_ENDPOINTS, start)
+    others = state.endpoint_table.listed.sample(MAX_ENDPOINTS, start)
     offset = start % max(1, len(others))
     involved = [attempt.endpoint_id for attempt in reversed(request.attempts)]
     if request.reservation_endpoint_id is not None:
