--- a/llm_router/transport/event_stream.py
+++ b/llm_router/transport/event_stream.py
@@ -1,4 +1,4 @@
-"""Streams of server-sent events on their way to HTTP/1.1 clients."""
+"""Sends streams of server-sent events to HTTP/1.1 clients."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from llm_router.configuration import MAX_BODY_BYTES
 
-MAX_EVENT_SIZE = 64 * 1024  # bytes
+MAX_EVENT_SIZE = 64 * 1024  # maximum bytes of one event
 EVENT_LINES = re.compile(rb"(?:(?:(?:data|event|id|retry)?:[^\n]*|\r?)\n)*")
 EVENT_ENDS = (b"\n\n", b"\n\r\n")
 
 
 class StreamedResponse(web.StreamResponse):
-    """A stream on its way to a client; an aborted one never sends the last chunk."""
+    """A streamed response to a client; after an abort the final chunk is never sent."""
 
     aborted = False
 
@@ -34,10 +34,10 @@
 
 
 class EventStreamSink:
-    """Passes a response's events on to a client as they come, each once it is complete.
+    """Forwards a response's events to a client, each as soon as it is complete.
 
-    So a malformed stream is found before it goes out: a chunk size that is too small or too large shows as
-    lines that belong to no event, a huge one as an event or a stream without end."""
+    This detects a malformed stream before it is forwarded. A wrong chunk size leads to lines that belong to
+    no event; a huge chunk size leads to an event or a stream over the size limit."""
 
     buffered = False
 
@@ -53,42 +53,42 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begin an attempt's stream: nothing is left of an earlier malformed one."""
-        self._incomplete = b""  # the received part of an event that is not complete
+        """Prepare for a new attempt's stream by discarding the data of the previous one."""
+        self._incomplete = b""  # the received part of an incomplete event
         self._received_size = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take a piece of the stream and return the complete events in it that have not been returned.
+        """Add a piece of the stream and return the events that it completes.
 
-        Raise ValueError where the stream is malformed."""
+        Raise ValueError if the stream is malformed."""
         self._received_size += len(data)
         if self._received_size > MAX_BODY_BYTES:
-            raise ValueError("a stream over 256 KiB")
+            raise ValueError(f"stream is over the limit of {MAX_BODY_BYTES} bytes")
         data = self._incomplete + data
         end = max((data.rfind(mark) + len(mark) for mark in EVENT_ENDS if mark in data), default=0)
         events = data[:end]
         self._incomplete = data[end:]
         if len(self._incomplete) > MAX_EVENT_SIZE:
-            raise ValueError("an event without end")
+            raise ValueError(f"event is over the limit of {MAX_EVENT_SIZE} bytes")
         if events and not EVENT_LINES.fullmatch(events):
-            raise ValueError("what is no event")
+            raise ValueError("stream contains a line that is not a valid server-sent event field")
         return events
 
     def flush(self, framed: bool) -> bytes:
-        """Return what is left at the stream's end; its last event need not end in an empty line.
+        """Return the last event at the stream's end, even if no empty line follows it.
 
-        Raise ValueError where that is malformed, ConnectionError where the stream is not `framed`, so that
-        one cut short looks like a complete one."""
+        Raise ValueError if the event is malformed. Raise ConnectionError if the stream is not `framed`,
+        because a truncated stream could not be distinguished from a complete one."""
         if not framed:
-            raise ConnectionError("a stream whose end cannot be known")
+            raise ConnectionError("stream may be truncated: it has no content length and is not chunked")
         events = self._incomplete
         self._incomplete = b""
         if events and not EVENT_LINES.fullmatch(events if events.endswith(b"\n") else events + b"\n"):
-            raise ValueError("what is no event")
+            raise ValueError("stream ends with a line that is not a valid server-sent event field")
         return events
 
     async def start(self) -> None:
-        """Send the response's head."""
+        """Send the response head."""
         await self._ignore_disconnect(self.response.prepare(self.request))
 
     async def write(self, data: bytes) -> None:
@@ -96,12 +96,12 @@
         await self._ignore_disconnect(self.response.write(data))
 
     async def finish(self) -> None:
-        """Send the stream's end; this is the final answer."""
+        """Send the end of the stream, which completes the final answer."""
         await self._ignore_disconnect(self.response.write_eof())
         self._set_done()
 
     def abort(self) -> None:
-        """End the client's connection in the middle of the stream; this is the final answer."""
+        """Close the client's connection in the middle of the stream, which ends the final answer."""
         self.response.abort(self.request)
         self._set_done()
 
@@ -111,7 +111,10 @@
 
     @staticmethod
     async def _ignore_disconnect(write: Awaitable[object]) -> None:
-        """Await a write; that the client is gone is learnt by its handler's end, and is no upstream error."""
+        """Await a write to the client, and ignore a connection error.
+
+        The error must not count as a failure of the endpoint. If the client has disconnected, its handler is
+        cancelled anyway."""
         try:
             await write
         except OSError:
--- a/llm_router/transport/response_relay.py
+++ b/llm_router/transport/response_relay.py
@@ -18,14 +18,14 @@
 from llm_router.transport.frontend_protocol import BufferedSink, ResponseSink, StreamSink
 from llm_router.transport.resource_limits import BodyMemoryBudget
 
-TAIL_SIZE = 2048  # bytes kept of a stream's end, where usage and the load report stand
-EVENT_TIMEOUT = timedelta(seconds=4.8)  # without an event: a client must not be left waiting for 5 s
+TAIL_SIZE = 2048  # bytes kept from the end of a stream, which contains token usage and the load report
+EVENT_TIMEOUT = timedelta(seconds=4.8)  # maximum time between two events; a client must not wait for 5 s
 CONNECTION_ERRORS = (aiohttp.ClientError, OSError, TimeoutError)
 
 
 @dataclass(slots=True, frozen=True)
 class RelayResult:
-    """How a relay ended, and the last bytes that were relayed."""
+    """The outcome of relaying a response: the attempt's status and the last bytes that were relayed."""
 
     status: AttemptStatus
     tail: bytes = b""
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamPiece:
-    """The complete events that were read in one go; `is_last` at the end of the stream."""
+    """The complete events from one read; `is_last` is true at the end of the stream."""
 
     events: bytes
     is_last: bool
@@ -41,19 +41,19 @@
 
 @dataclass(slots=True)
 class StreamProgress:
-    """What has gone to the client of a stream."""
+    """The progress of a stream to its client: whether it has started, and the last bytes sent."""
 
     started: bool = False
     tail: bytes = b""
 
 
 def is_framed(response: aiohttp.ClientResponse) -> bool:
-    """Return whether a response's end is marked, so that one cut short can be told from a complete one."""
+    """Return whether a response declares its length or is chunked, so that a truncation can be detected."""
     return "Transfer-Encoding" in response.headers or "Content-Length" in response.headers
 
 
 def log_malformed_response(effect: effects.OpenAttempt, error: Exception) -> None:
-    """Log that an attempt's response cannot be read: the endpoint is up, and the request may have run."""
+    """Log that an attempt's response is malformed; the endpoint is reachable and may have run the request."""
     log.emit_rate_limited(
         "response_malformed",
         endpoint=effect.endpoint.name,
@@ -63,7 +63,7 @@
 
 
 class ResponseRelay:
-    """Relays responses; those that are buffered share a memory budget."""
+    """Relays responses to clients, as streams or buffered; buffered responses share a memory budget."""
 
     def __init__(self, memory: BodyMemoryBudget, feed: Callable[[events.Event], None]) -> None:
         self._memory = memory
@@ -72,7 +72,7 @@
     async def relay(
         self, effect: effects.OpenAttempt, sink: ResponseSink, response: aiohttp.ClientResponse
     ) -> RelayResult:
-        """Relay an attempt's response to its client, and return how that ended."""
+        """Relay an attempt's response to its client and return the outcome."""
         if sink.buffered:
             return await self._relay_buffered(effect, cast(BufferedSink, sink), response)
         return await self._relay_stream(effect, cast(StreamSink, sink), response)
@@ -80,7 +80,9 @@
     async def _relay_stream(
         self, effect: effects.OpenAttempt, sink: StreamSink, response: aiohttp.ClientResponse
     ) -> RelayResult:
-        """Relay a stream event by event; once one has gone, a failure is the client's too."""
+        """Relay a stream event by event.
+
+        If the stream fails after its first event was sent, the client's connection is closed as well."""
         sink.reset()
         progress = StreamProgress()
         try:
@@ -90,7 +92,7 @@
                 sink.abort()
             raise
         except Exception as error:
-            # Any error: the client must not be left to wait on a stream that has ended.
+            # Every kind of error ends the client's stream, so that the client does not wait for more events.
             if progress.started:
                 sink.abort()
             return RelayResult(self._status_of(effect, error), progress.tail)
@@ -104,7 +106,7 @@
         response: aiohttp.ClientResponse,
         progress: StreamProgress,
     ) -> None:
-        """Relay each event once it is complete, so that nothing malformed passes as good."""
+        """Relay each event once it is complete and valid, so that no malformed event reaches the client."""
         is_last = False
         while not is_last:
             async with asyncio.timeout(to_seconds(EVENT_TIMEOUT) if progress.started else None):
@@ -122,11 +124,13 @@
             progress.tail = (progress.tail + data)[-TAIL_SIZE:]
             await sink.write(data)
         if not progress.started:
-            raise MalformedResponseError("a stream with no event")
+            raise MalformedResponseError("the stream ended without an event")
 
     @staticmethod
     async def _read_events(sink: StreamSink, response: aiohttp.ClientResponse) -> StreamPiece:
-        """Read until an event is complete, or to the end; an incomplete event is no sign of life."""
+        """Read until an event is complete or the stream ends.
+
+        Part of an event does not restart the event timeout."""
         while True:
             data = await response.content.readany()
             complete = sink.feed(data)
@@ -135,7 +139,7 @@
 
     @staticmethod
     def _status_of(effect: effects.OpenAttempt, error: Exception) -> AttemptStatus:
-        """Log an error of a stream where it says more than that the connection broke; return its status."""
+        """Return the attempt's status after a stream error; log the error unless the connection broke."""
         if isinstance(error, MalformedResponseError | ValueError):
             log_malformed_response(effect, error)
             return AttemptStatus.ERROR
@@ -146,7 +150,7 @@
     async def _relay_buffered(
         self, effect: effects.OpenAttempt, sink: BufferedSink, response: aiohttp.ClientResponse
     ) -> RelayResult:
-        """Relay a response once it is complete."""
+        """Read a response to its end, then send it to the client."""
         try:
             data = await self._read_body(response, sink)
         except MalformedResponseError as error:
@@ -165,9 +169,9 @@
         return RelayResult(AttemptStatus.OK, data)
 
     async def _read_body(self, response: aiohttp.ClientResponse, sink: BufferedSink) -> bytes | None:
-        """Return a response's body; None where it would exceed the memory budget.
+        """Return a response's body, or None if it would exceed the memory budget.
 
-        Endpoints may answer more, all together, than the limit on memory allows."""
+        The budget is needed because all response bodies together may be larger than the memory limit."""
         data = bytearray()
         while piece := await response.content.readany():
             if not self._memory.reserve(len(piece)):
