--- a/llm_router/transport/__init__.py
+++ b/llm_router/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The transport: performs the reducer's effects on sockets, feeds back the events that result."""
+"""The transport performs the reducer's effects on sockets and passes the resulting events to the reducer."""
--- a/llm_router/transport/attempt_executor.py
+++ b/llm_router/transport/attempt_executor.py
@@ -27,21 +27,22 @@
 from llm_router.transport.release_client import ReleaseClient
 from llm_router.transport.response_relay import ResponseRelay, log_malformed_response
 
-MAX_SHORT_BODY_SIZE = 64 * 1024  # bytes read of a response that is not relayed
-# For the rest of a response that is not relayed. Its head tells what the endpoint holds or has given up: the
-# release time runs meanwhile.
+MAX_SHORT_BODY_SIZE = 64 * 1024  # maximum bytes in the body of a response that is not relayed
+# Time limit for reading the body of a response that is not relayed. It is short because the head already says
+# whether the endpoint holds KV state, whose release time runs while the router reads.
 SHORT_BODY_TIMEOUT = timedelta(milliseconds=100)
-SILENCE_THRESHOLD = timedelta(
-    milliseconds=500
-)  # an attempt aborted after this casts doubt on idle connections
+# If an attempt without a response is cancelled after this time, the idle connections to its endpoint are
+# closed, because they may be half-open.
+SILENCE_THRESHOLD = timedelta(milliseconds=500)
 SEND_ERRORS = (aiohttp.ClientError, OSError, TimeoutError)
 
 
 @dataclass(slots=True, frozen=True)
 class LifecycleLink:
-    """How attempts consult and notify the request lifecycle."""
+    """The functions with which attempts query the request lifecycle and send it events."""
 
-    check: Callable[[timedelta, effects.OpenAttempt], Denial | None]  # why it may not be written now
+    # Returns the reason why an attempt may not be written at the given time, or None if it may.
+    check: Callable[[timedelta, effects.OpenAttempt], Denial | None]
     feed: Callable[[events.Event], None]
 
 
@@ -65,9 +66,9 @@
     async def execute(
         self, effect: effects.OpenAttempt, request: ProxiedRequest, written: asyncio.Event
     ) -> events.AttemptEnded:
-        """Send the request, relay a response where there is one, and return how the attempt ended.
+        """Send the request, handle the response if one comes, and return how the attempt ended.
 
-        `written` is set once the first bytes of the request may have gone."""
+        The event `written` is set once the first bytes of the request may have been sent."""
         if effect.awaits_release:
             await self._releases.wait_for_acknowledgement(effect.request_id)
         upstream_request = request.upstream_request(effect)
@@ -85,7 +86,7 @@
     async def _send(
         self, effect: effects.OpenAttempt, request: UpstreamRequest, written: asyncio.Event
     ) -> aiohttp.ClientResponse:
-        """Send a request; return its response once the head is complete."""
+        """Send a request and return its response as soon as the response head is complete."""
         unacknowledged = events.AttemptUnacknowledged(effect.request_id, effect.attempt)
         timer = AcknowledgementTimer(asyncio.get_running_loop(), lambda: self._lifecycle.feed(unacknowledged))
 
@@ -111,9 +112,9 @@
     def _prepare_write(
         self, effect: effects.OpenAttempt, request: UpstreamRequest, headers: MutableMapping[str, str]
     ) -> None:
-        """Set the time remaining, now that the connection is up.
+        """Set the time remaining in a request's headers, just before the request is written.
 
-        Raise AttemptWithdrawnError where the attempt may not be written any more."""
+        Raise AttemptWithdrawnError if the attempt may no longer be written."""
         now = self._clock.now()
         remaining = effect.deadline - now
         denial = self._lifecycle.check(now, effect)
@@ -135,7 +136,8 @@
     ) -> events.AttemptEnded:
         """Return how an attempt without a response ended.
 
-        A failed connect counts as never run only while no byte of the request can have gone."""
+        The status is CONNECT_FAILED, which means that the request has not run, only if no byte of the
+        request can have been sent."""
         key = effect.request_id, effect.attempt
         if isinstance(error, AttemptWithdrawnError):
             return events.AttemptEnded(*key, AttemptStatus.NOT_SENT)
@@ -148,15 +150,17 @@
         status = AttemptStatus.RESET if written else AttemptStatus.CONNECT_FAILED
         if isinstance(error, StaleConnectionError):
             return events.AttemptEnded(*key, status, connection_fault=ConnectionFault.STALE)
-        # A machine that is cut off gives no sign: the next request on an idle connection would wait in
-        # silence again, while a new connection fails at the connect timeout.
+        # An unreachable host does not close its connections. The next request on an idle, half-open
+        # connection would wait for a lost response again; a new connection fails at the connect timeout.
         self._pool.connector.drop_idle(effect.endpoint.address)
         return events.AttemptEnded(*key, status)
 
     async def _receive(
         self, effect: effects.OpenAttempt, request: ProxiedRequest, response: aiohttp.ClientResponse
     ) -> events.AttemptEnded:
-        """Handle a response; its connection is used again only where it was read to its end."""
+        """Handle a response and return how the attempt ended.
+
+        The connection returns to the pool only if the response was read to its end."""
         is_complete = False
         try:
             head = request.read_head(response.status, response.headers, b"")
@@ -192,7 +196,7 @@
 
     @staticmethod
     async def _read_short_body(response: aiohttp.ClientResponse) -> bytes | None:
-        """Return the body of a response that is not relayed; None where it cannot be read to its end."""
+        """Return the body of a response that is not relayed, or None if it is not complete in time."""
         data = b""
         with suppress(*SEND_ERRORS, RuntimeError):
             async with asyncio.timeout(to_seconds(SHORT_BODY_TIMEOUT)):
--- a/llm_router/transport/running_attempts.py
+++ b/llm_router/transport/running_attempts.py
@@ -1,4 +1,4 @@
-"""Owns the tasks of the attempts that are running."""
+"""Manages the tasks of the running attempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from llm_router.transport.frontend_protocol import ProxiedRequest
 
 AttemptTask = asyncio.Task[events.AttemptEnded]
-# Makes an attempt for a request, and sets the event once bytes of it may have gone.
+# A coroutine function that executes an attempt. It sets the event once bytes may have been sent.
 Execute = Callable[
     [effects.OpenAttempt, ProxiedRequest, asyncio.Event], Coroutine[Any, Any, events.AttemptEnded]
 ]
@@ -21,15 +21,15 @@
 
 @dataclass(slots=True)
 class RunningAttempt:
-    """An attempt from its start to its end."""
+    """A running attempt with its task."""
 
     task: AttemptTask
-    written: asyncio.Event  # set once its first bytes may have gone, and at its end
+    written: asyncio.Event  # is set once the first bytes may have been sent, at the latest when the task ends
     ended: bool = False
 
 
 class RunningAttempts:
-    """Starts and aborts attempts, and feeds back how each ended."""
+    """The running attempts. It starts and aborts attempts, and feeds an event when one ends."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._tasks = tasks
         self._execute = execute
         self._feed = feed
-        self._running: dict[tuple[str, int], RunningAttempt] = {}  # by request and number of the attempt
+        self._running: dict[tuple[str, int], RunningAttempt] = {}  # keys: request id and attempt number
 
     def start(self, effect: effects.OpenAttempt, request: ProxiedRequest) -> None:
         """Start an attempt for a request."""
@@ -56,14 +56,14 @@
             attempt.task.cancel()
 
     def get(self, request_id: str, attempt: int) -> RunningAttempt | None:
-        """Return a running attempt, None where it is not running."""
+        """Return the attempt with this number, or None if it is not running."""
         return self._running.get((request_id, attempt))
 
     def _on_done(self, effect: effects.OpenAttempt, task: AttemptTask) -> None:
-        """Feed back how an attempt ended; its connection is free or closed by now.
+        """Feed an event that says how an attempt ended, after its connection was returned or closed.
 
-        This is a callback of the task, as a task that is cancelled before its first step never runs its own
-        code: without the event the lifecycle would wait for ever, and its KV lease would stay."""
+        A done callback does this because a task that is cancelled before its first step never runs its own
+        code. Without the event the lifecycle would wait forever, and the KV lease would never be released."""
         key = effect.request_id, effect.attempt
         attempt = self._running.pop(key)
         attempt.ended = True
--- a/llm_router/transport/runtime.py
+++ b/llm_router/transport/runtime.py
@@ -1,4 +1,4 @@
-"""Dispatches the reducer's effects to what performs them, on one event loop."""
+"""Connects the reducer to the transport: dispatches its effects and gives it the events that result."""
 
 from __future__ import annotations
 
@@ -30,33 +30,36 @@
 from llm_router.transport.response_relay import ResponseRelay
 from llm_router.transport.running_attempts import RunningAttempts
 
-IDLE_POLL_INTERVAL = timedelta(milliseconds=5)  # at shutdown, while releases are still to be made
-IDLE_TIMEOUT = timedelta(seconds=6)  # at shutdown: no endpoint may be left to acknowledge a release
+# Interval at which shutdown checks whether the last KV leases have been released.
+IDLE_POLL_INTERVAL = timedelta(milliseconds=5)
+# Bounds the wait for releases at shutdown, because there may be no endpoint left to acknowledge them.
+IDLE_WAIT_TIMEOUT = timedelta(seconds=6)
 
 
 def no_report(_body: bytes) -> LoadReport:
-    """Return an empty report, for endpoints that report no load."""
+    """Return an empty load report; used if the endpoints report no load."""
     return NO_REPORT
 
 
-def no_path(_request_id: str) -> None:
-    """Return no path, for endpoints that hold no KV leases."""
+def no_reservation_path(_request_id: str) -> None:
+    """Return None instead of a path; used if the endpoints support no reservations and releases."""
 
 
 class Runtime:
-    """Owns one router's lifecycle state, feeds it events, and dispatches the effects that result."""
+    """The lifecycle state of one router, and the dispatch of events and effects on its event loop."""
 
     def __init__(
         self,
         config: RouterConfig,
         pool: ConnectionPool,
-        reservation_path: Callable[[str], str | None] = no_path,
+        reservation_path: Callable[[str], str | None] = no_reservation_path,
         load_path: str = "",
         read_report: Callable[[bytes], LoadReport] = no_report,
     ) -> None:
         self.config = config
         self.pool = pool
-        self.proxied_requests: dict[str, ProxiedRequest] = {}  # by request, from arrival to final answer
+        # The unanswered requests by id, from their receipt to their final answer.
+        self.proxied_requests: dict[str, ProxiedRequest] = {}
         registry = IdempotencyRegistry(config.idempotency_capacity, config.idempotency_retention)
         self.state = RouterState(config.settings, RoutingPolicy(config.settings, config.seed), registry)
         self._clock = Clock()
@@ -85,9 +88,11 @@
         }
 
     def feed(self, event: events.Event) -> None:
-        """Reduce an event and dispatch its effects; events fed meanwhile come after it, in order.
+        """Reduce an event and dispatch its effects.
 
-        An exception is a fault of the router; the first one is raised once the queue is empty."""
+        Events that are fed during the dispatch are queued and handled in order. An exception is an internal
+        error of the router; it does not stop the queue. The first exception is raised once the queue is
+        empty."""
         self._queue.append(event)
         if self._is_dispatching:
             return
@@ -107,13 +112,14 @@
             self._handlers[type(effect)](effect)
 
     async def wait_until_idle(self) -> None:
-        """Wait until no task is running, and all KV leases are released, for a bounded time."""
+        """Wait until no task runs and all KV leases are released, but no longer than IDLE_WAIT_TIMEOUT."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(to_seconds(IDLE_TIMEOUT)):
+            async with asyncio.timeout(to_seconds(IDLE_WAIT_TIMEOUT)):
                 await self._wait_until_idle()
         if not self.state.is_idle:
             log.emit("leases_left", requests=len(self.state.requests))
-            self.state.requests.clear()  # their timers must start no call on a pool that closes
+            # Without its request, a timer that fires later starts no call on the closing pool.
+            self.state.requests.clear()
 
     async def _wait_until_idle(self) -> None:
         while self._tasks or not self.state.is_idle:
