--- a/llm_router/transport/load_prober.py
+++ b/llm_router/transport/load_prober.py
@@ -11,11 +11,11 @@
 from llm_router.transport.clock import elapsed_since
 from llm_router.transport.pool import ConnectionPool
 
-PROBE_TIMEOUT = timedelta(milliseconds=250)  # a report that takes longer is of no more use
+PROBE_TIMEOUT = timedelta(milliseconds=250)  # time limit of a load probe; a later load report is outdated
 
 
 class LoadProber:
-    """Probes the endpoints' load at one path, and feeds back what came of it."""
+    """Makes load probes, and feeds an event with each load report or failure."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._feed = feed
 
     async def probe(self, effect: effects.FetchLoadReport) -> None:
-        """Fetch an endpoint's load report."""
+        """Fetch an endpoint's load report and feed the result as an event."""
         start = asyncio.get_running_loop().time()
         response = await self._pool.fetch(effect.endpoint.address, self._path, PROBE_TIMEOUT)
         status = AttemptStatus.TIMEOUT
--- a/llm_router/transport/release_client.py
+++ b/llm_router/transport/release_client.py
@@ -1,4 +1,4 @@
-"""Makes the calls that release KV leases at endpoints."""
+"""Makes the calls that release KV state and reservations at endpoints."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from llm_router.transport.clock import to_seconds
 from llm_router.transport.pool import ConnectionPool, UpstreamCall
 
-RELEASE_TIMEOUT = timedelta(seconds=2)  # of one call, which is cancelled once another one is acknowledged
-RELEASE_WAIT = timedelta(milliseconds=100)  # a next prefill waits so long for the release before it
-RELEASE_ACKNOWLEDGED = 204  # the status of an endpoint that has taken a release
+# Time limit of one release call. It is cancelled earlier if another call for the request is acknowledged.
+RELEASE_TIMEOUT = timedelta(seconds=2)
+# Maximum time that a repeated prefill waits until the release before it is acknowledged.
+RELEASE_WAIT = timedelta(milliseconds=100)
+RELEASE_ACKNOWLEDGED = 204  # HTTP status with which an endpoint acknowledges a release
 
 
 class ReleaseClient:
-    """Makes release calls and feeds back how each ended."""
+    """Makes release calls, and feeds an event when one ends."""
 
     def __init__(
         self,
@@ -28,11 +30,13 @@
         feed: Callable[[events.Event], None],
     ) -> None:
         self._pool = pool
-        self._path = path  # returns a request's path, None where the endpoints hold no KV leases
+        # Returns the path for the release of a request, or None if the endpoints support no releases.
+        self._path = path
         self._tasks = tasks
         self._feed = feed
-        self.running: dict[str, set[asyncio.Task[bool]]] = {}  # by request
-        self._awaited: dict[str, asyncio.Event] = {}  # set by an acknowledged release, by request
+        self.running: dict[str, set[asyncio.Task[bool]]] = {}  # release calls by request id
+        # Events by request id. An acknowledged release call of the request sets its event.
+        self._awaited: dict[str, asyncio.Event] = {}
 
     def start(self, effect: effects.Release) -> None:
         """Start a release call."""
@@ -41,7 +45,7 @@
         task.add_done_callback(lambda task: self._on_done(effect, task))
 
     def _on_done(self, effect: effects.Release, task: asyncio.Task[bool]) -> None:
-        """Feed back how a release call ended, unless it was cancelled."""
+        """Feed an event that says how a release call ended, unless the call was cancelled."""
         running = self.running.get(effect.request_id, set())
         running.discard(task)
         if not running:
@@ -56,7 +60,7 @@
         )
 
     async def _call(self, effect: effects.Release) -> bool:
-        """Call an endpoint's release; return whether the endpoint has acknowledged it."""
+        """Make a release call; return whether the endpoint acknowledged it."""
         path = self._path(effect.request_id)
         if path is None:
             return True
@@ -69,7 +73,7 @@
             task.cancel()
 
     async def wait_for_acknowledgement(self, request_id: str) -> None:
-        """Wait, for a bounded time, until an endpoint has acknowledged a release of a request."""
+        """Wait until an endpoint has acknowledged a release of a request, but no longer than RELEASE_WAIT."""
         acknowledged = asyncio.Event()
         self._awaited[request_id] = acknowledged
         try:
--- a/llm_router/transport/reservation_client.py
+++ b/llm_router/transport/reservation_client.py
@@ -14,8 +14,10 @@
 from llm_router.transport.pool import ConnectionPool, UpstreamCall
 from llm_router.transport.running_attempts import RunningAttempt
 
-RESERVATION_TIMEOUT = timedelta(seconds=1)
-RESERVATION_OUTCOMES = {  # by the response's status; after any other one a reservation may exist
+RESERVATION_TIMEOUT = timedelta(seconds=1)  # time limit of one reservation call
+# Outcomes by the HTTP status of the response, None if there is none. After any other status the outcome is
+# UNKNOWN, and a reservation may exist.
+RESERVATION_OUTCOMES = {
     200: ReservationOutcome.RESERVED,
     409: ReservationOutcome.REJECTED,
     404: ReservationOutcome.NOT_MADE,
@@ -24,7 +26,7 @@
 
 
 class ReservationClient:
-    """Makes reservation calls and feeds back how each ended."""
+    """Makes reservation calls, and feeds an event when one ends."""
 
     def __init__(
         self,
@@ -34,12 +36,16 @@
         check: Callable[[effects.Reserve], Denial | None],
     ) -> None:
         self._pool = pool
-        self._path = path  # returns a request's path, None where the endpoints take no reservations
+        # Returns the path for the reservation of a request, or None if the endpoints support none.
+        self._path = path
         self._feed = feed
-        self._check = check  # returns why a reservation may not be made any more, None if it may
+        # Returns the reason why a reservation may no longer be made, or None if it may.
+        self._check = check
 
     async def run(self, effect: effects.Reserve, prefill: RunningAttempt | None) -> None:
-        """Reserve once the prefill is being written: before that no endpoint would know of it."""
+        """Make a reservation once the prefill attempt is being written.
+
+        Before that no endpoint knows the request for which the capacity is reserved."""
         outcome = ReservationOutcome.NOT_MADE
         try:
             path = self._path(effect.request_id)
@@ -56,9 +62,9 @@
     async def _call(
         self, effect: effects.Reserve, path: str, prefill: asyncio.Task[events.AttemptEnded]
     ) -> ReservationOutcome:
-        """Make a reservation call; drop it where it has not been written when the prefill ends.
+        """Make a reservation call; cancel it if the prefill ends before the call is written.
 
-        A connection may come up late: the capacity would be reserved for nobody."""
+        Connecting may take longer than the prefill. A reservation after the prefill would stay unused."""
         written = asyncio.Event()
 
         def before_write(_headers: MutableMapping[str, str], _transport: asyncio.Transport | None) -> None:
@@ -76,7 +82,7 @@
             task.cancel()
 
     def _withdraw_if_denied(self, effect: effects.Reserve) -> None:
-        """Raise AttemptWithdrawnError where the reason for a reservation has gone."""
+        """Raise AttemptWithdrawnError if the reservation may no longer be made."""
         denial = self._check(effect)
         if denial is None:
             return
