--- a/llm_router/transport/upstream_connection.py
+++ b/llm_router/transport/upstream_connection.py
@@ -1,6 +1,7 @@
-"""A connection to an endpoint: aiohttp's client protocol, with bounds on malformed responses.
+"""Connections to endpoints: aiohttp's client protocol, with stricter checks for malformed responses.
 
-It uses private parts of the pinned aiohttp release; `tests/transport/test_connections.py` checks them."""
+This module uses private parts of the pinned aiohttp release; `tests/transport/test_connections.py` checks
+that they exist."""
 
 from __future__ import annotations
 
@@ -17,18 +18,19 @@
 from llm_router.transport.clock import to_seconds
 from llm_router.transport.errors import MalformedResponseError, StaleConnectionError
 
-MAX_HEAD_SIZE = 64 * 1024  # bytes of a response's head, with all interim responses before it
-HEAD_TIMEOUT = timedelta(seconds=0.3)  # from a head's first byte to its end; it is written in one piece
-MAX_INTERIM_RESPONSES = 16  # 1xx responses before a final one
+MAX_HEAD_SIZE = 64 * 1024  # maximum bytes of a response head and all interim responses before it
+# Maximum time from the first byte of a response head to its end. Endpoints write a head in one piece.
+HEAD_TIMEOUT = timedelta(seconds=0.3)
+MAX_INTERIM_RESPONSES = 16  # maximum number of 1xx responses before the final response
 CONNECTION_FAILURES = (ConnectionError, aiohttp.ClientOSError, aiohttp.ServerDisconnectedError)
 
 
 class UpstreamConnection(ResponseHandler):
-    """A connection to an endpoint, which ends with anything that does not belong to the awaited response.
+    """A connection to an endpoint that is closed when a malformed response or unexpected bytes arrive.
 
-    aiohttp waits for some malformed responses without end, or accepts them: a head of any length; a chunk
-    that cannot be parsed, whose error does not reach the reader of the body; bytes after a response, which
-    the next request on the connection would take for its own."""
+    aiohttp itself does not handle three cases. It accepts a response head of any length. It does not report a
+    malformed chunk to the reader of the body, who then waits forever. It keeps bytes that follow a response,
+    and takes them for the response to the next request."""
 
     __slots__ = (
         "_head_size",
@@ -42,16 +44,17 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_stale: Callable[[float], None]) -> None:
         super().__init__(loop)
-        self._on_stale = on_stale  # is given the idle seconds of a connection that broke when used again
-        self._last_received = 0.0  # the loop's time of the last bytes, 0 before any
-        self._idle_seconds = 0.0  # how long the connection was idle before this request, 0 for its first
-        self._response_body: aiohttp.StreamReader | None = None  # set once the awaited head is complete
+        self._on_stale = on_stale  # is called with the idle time in seconds if the connection is stale
+        self._last_received = 0.0  # event loop time in seconds of the last received bytes, or 0
+        self._idle_seconds = 0.0  # idle time in seconds before the current request; 0 for the first request
+        # The body of the awaited response, once its head is complete.
+        self._response_body: aiohttp.StreamReader | None = None
         self._interim_responses = 0
         self._head_size = 0
         self._head_timer: asyncio.TimerHandle | None = None
 
     def set_response_params(self, **params: Any) -> None:  # noqa: ANN401  # aiohttp's
-        """Begin to await a response, for a request that is about to be written."""
+        """Reset the state for the response to a request that is about to be written."""
         self._response_body = None
         self._interim_responses = 0
         self._head_size = 0
@@ -60,9 +63,9 @@
         super().set_response_params(**params)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes from the endpoint; end the connection where they are not the awaited response's."""
+        """Parse bytes from the endpoint; close the connection if they are malformed or unexpected."""
         if data and (self._parser is None or self._response_is_complete()):
-            self._fail_malformed("bytes that no request asked for")
+            self._fail_malformed(f"received {len(data)} unexpected bytes outside of a response")
             return
         interim_before = self._interim_responses
         self._last_received = self._loop.time()
@@ -72,21 +75,25 @@
         self._head_size += len(data)
         after_interim = self._interim_responses > interim_before and data.endswith(b"\r\n\r\n")
         if self._head_size > MAX_HEAD_SIZE or self._interim_responses > MAX_INTERIM_RESPONSES:
-            self._fail_malformed("a head without end")
+            limits = f"{MAX_HEAD_SIZE} bytes or {MAX_INTERIM_RESPONSES} interim responses"
+            self._fail_malformed(f"response head exceeds {limits}")
         elif after_interim:
             self._cancel_head_timer()
         elif self._head_timer is None and data:
             timeout = to_seconds(HEAD_TIMEOUT)
-            self._head_timer = self._loop.call_later(timeout, self._fail_malformed, "a head without end")
+            reason = f"response head is incomplete {timeout} s after its first byte"
+            self._head_timer = self._loop.call_later(timeout, self._fail_malformed, reason)
 
     def _response_is_complete(self) -> bool:
         return self._response_body is not None and self._response_body.is_eof()
 
     def feed_data(self, data: tuple[RawResponseMessage, aiohttp.StreamReader], size: int = 0) -> None:
-        """Take a head from the parser: drop an interim one, end the connection on a second final one."""
+        """Handle a parsed response head.
+
+        Interim responses are dropped. A second final response to one request closes the connection."""
         message, body = data
         if self._response_body is not None:
-            self._fail_malformed("a second answer")
+            self._fail_malformed("received a second response to one request")
         elif 100 <= message.code < 200 and message.code != 101:
             self._interim_responses += 1
         else:
@@ -95,38 +102,41 @@
             super().feed_data(data, size)
 
     def set_exception(self, exc: BaseException, *cause: BaseException) -> None:
-        """Pass an error to whoever awaits the response, or its body; aiohttp would let the latter wait."""
+        """Raise an error in the task that awaits the response or reads its body.
+
+        aiohttp itself would leave the reader of the body waiting."""
         self._cancel_head_timer()
-        exc = self._refined(exc)
+        exc = self._classify_error(exc)
         super().set_exception(exc, *cause)
         body = self._response_body
         if body is not None and not body.is_eof() and body.exception() is None:
             is_client_error = isinstance(exc, aiohttp.ClientError)
             body.set_exception(exc if is_client_error else aiohttp.ClientConnectionError(repr(exc)))
 
-    def _refined(self, error: BaseException) -> BaseException:
-        """Return a malformed response's or a stale connection's error as such, any other one as it is."""
+    def _classify_error(self, error: BaseException) -> BaseException:
+        """Return a more specific error for a malformed response or stale connection, else the same error."""
         if isinstance(error, aiohttp.http_exceptions.HttpProcessingError):
-            return MalformedResponseError(f"an answer that cannot be read: {error.message}")
+            return MalformedResponseError(f"malformed response: {error.message}")
         got_nothing = self._response_body is None and not self._head_size
         if self._idle_seconds and got_nothing and isinstance(error, CONNECTION_FAILURES):
             idle_seconds = self._idle_seconds
             self._idle_seconds = 0.0
             self._on_stale(idle_seconds)
-            return StaleConnectionError(f"idle for {idle_seconds:.3f} s")
+            return StaleConnectionError(f"connection broke when used again after {idle_seconds:.3f} s idle")
         return error
 
     def _fail_malformed(self, reason: str) -> None:
-        """End the connection; whoever awaits a response on it gets the error."""
+        """Abort the connection and raise MalformedResponseError in the task that awaits the response."""
         self.set_exception(MalformedResponseError(reason))
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """Close the connection from our side, which does not count as stale though aiohttp reports an error.
+        """Close the connection, or reset it if a request on it is only partly written or acknowledged.
 
-        A request may be given up half-written: a plain close would write the rest of it when the endpoint
-        reads again, and have it run for nobody. So the connection is reset then."""
+        After a plain close the rest of a cancelled request would still be sent, and the endpoint would run
+        it although its client no longer waits. aiohttp reports an error for a connection that is closed
+        here; the connection does not count as stale."""
         self._idle_seconds = 0.0
         if self.transport is not None:
             reset_if_unacknowledged(self.transport)
@@ -141,6 +151,6 @@
             self._head_timer = None
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Handle the end of the connection."""
+        """Stop the timer for the response head when the connection is closed."""
         self._cancel_head_timer()
         super().connection_lost(exc)
