--- a/llm_router/transport/acknowledgement.py
+++ b/llm_router/transport/acknowledgement.py
@@ -1,4 +1,4 @@
-"""Checks with the kernel whether the other end has acknowledged what was written to a connection."""
+"""Asks the kernel whether the peer's host has acknowledged the bytes written to a connection."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
 from llm_router.transport.clock import to_seconds
 
-# Several round trips, and more than a delayed acknowledgement takes.
+# Time after which unacknowledged bytes are reported: several round trips, and longer than a delayed TCP
+# acknowledgement takes.
 ACKNOWLEDGEMENT_TIMEOUT = timedelta(milliseconds=120)
 UNSENT_BYTES = struct.Struct("i")
-LINGER_ZERO = struct.pack("ii", 1, 0)  # struct linger: a close resets the connection
+LINGER_ZERO = struct.pack("ii", 1, 0)  # a struct linger with which a close resets the connection
 
 
 def unacknowledged_bytes(transport: asyncio.Transport) -> int:
-    """Return how many written bytes the other machine has not acknowledged; 0 where that cannot be found out.
+    """Return the number of written bytes that the peer's host has not acknowledged, or 0 if it is unknown.
 
-    Counts what is still buffered in this process, and the kernel's SIOCOUTQ (tcp(7), the number of
-    TIOCOUTQ)."""
+    The number includes the bytes buffered in this process and the kernel's send queue. The queue size comes
+    from the ioctl SIOCOUTQ (see tcp(7)), which has the same number as TIOCOUTQ."""
     connection = transport.get_extra_info("socket")
     if connection is None or transport.is_closing():
         return 0
@@ -37,10 +38,10 @@
 
 
 def reset_if_unacknowledged(transport: asyncio.Transport) -> None:
-    """Make the coming close of a connection discard what the other machine has not acknowledged.
+    """Make the next close of a connection a reset if the peer's host has not acknowledged all bytes.
 
-    A call may be given up while its endpoint is cut off. After a plain close the kernel would go on sending,
-    and the endpoint would run the call for nobody once it is back."""
+    A call may be cancelled while its endpoint is unreachable. After a plain close the kernel would continue
+    to send, and the endpoint would run the cancelled call once it is reachable again."""
     connection = transport.get_extra_info("socket")
     if connection is None or not unacknowledged_bytes(transport):
         return
@@ -49,7 +50,7 @@
 
 
 class AcknowledgementTimer:
-    """Checks once, some round trips after a request was written, whether its last byte has arrived."""
+    """Checks, some round trips after a request was written, whether all its bytes are acknowledged."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_unacknowledged: Callable[[], None]) -> None:
         self._loop = loop
@@ -57,7 +58,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, transport: asyncio.Transport | None) -> None:
-        """Begin to time a connection to which a request is being written."""
+        """Start the timer for a connection to which a request is being written."""
         if transport is None:
             return
         self._timer = self._loop.call_later(to_seconds(ACKNOWLEDGEMENT_TIMEOUT), self._check, transport)
@@ -68,6 +69,6 @@
             self._on_unacknowledged()
 
     def stop(self) -> None:
-        """Stop the timer: there is a response, or nobody waits for one any more."""
+        """Stop the timer, because a response has come or the call was cancelled."""
         if self._timer is not None:
             self._timer.cancel()
--- a/llm_router/transport/errors.py
+++ b/llm_router/transport/errors.py
@@ -1,6 +1,6 @@
 """The errors of calls to endpoints.
 
-Each derives from the aiohttp error it refines, so that code that handles aiohttp's errors handles it too."""
+Each class derives from an aiohttp error, so that code that handles aiohttp's errors also handles it."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 
 class MalformedResponseError(UpstreamError, aiohttp.ClientPayloadError):
-    """A response cannot be read; its request may have run, and its connection is not used again."""
+    """A response is malformed; the request may have run, and the connection is not reused."""
 
 
 class LocalConnectError(UpstreamError, aiohttp.ClientOSError):
-    """A connection could not be made because of this machine; it says nothing about the endpoint."""
+    """A connection could not be opened because of an error on the router's host, not at the endpoint."""
 
 
 class StaleConnectionError(UpstreamError, aiohttp.ClientOSError):
-    """An idle connection that was used again broke before any byte of a response.
+    """A reused idle connection broke before any byte of a response arrived.
 
-    The endpoint may be healthy, as idle connections are closed by either side; the request may have run."""
+    The endpoint may be healthy, because either side may close an idle connection. The request may have
+    run."""
 
 
 class AttemptWithdrawnError(UpstreamError, aiohttp.ClientConnectionError):
-    """A request was not sent: the reason for it had gone by the time its connection was up."""
+    """A request was not sent, because it was no longer allowed once its connection was open."""
--- a/llm_router/transport/pool.py
+++ b/llm_router/transport/pool.py
@@ -1,4 +1,4 @@
-"""The client session for calls to endpoints, with aiohttp's defaults set for this protocol."""
+"""The connection pool for calls to endpoints and discovery, which is built on aiohttp's client session."""
 
 from __future__ import annotations
 
@@ -19,52 +19,58 @@
 from llm_router.transport.upstream_connector import UpstreamConnector, disable_retries
 from llm_router.transport.write_hook import BeforeWrite, HookedClientRequest, before_write
 
-READ_BUFFER_SIZE = 16 * 1024  # bytes taken from an endpoint before a slow client has taken them
-DISCOVERY_SOCKETS = 4  # sockets that only discovery uses: one for its watch, others while broken ones end
-RELEASE_SOCKETS = 4  # of the sockets to endpoints: attempts leave them, so that a release finds one
-IDLE_SHARE = 0.5  # of the endpoints' idle timeout: a request on an older connection may meet its reset
+READ_BUFFER_SIZE = 16 * 1024  # bytes buffered per response while its client reads slowly
+# Number of sockets for discovery: one for its watch, the others for new calls while broken connections close.
+DISCOVERY_SOCKETS = 4
+# Number of endpoint sockets reserved for release calls, so that attempts cannot use all sockets.
+RELEASE_SOCKETS = 4
+# Share of the endpoints' idle timeout after which the router closes an idle connection. If it were 1, a
+# request could be sent on a connection that the endpoint is just closing.
+IDLE_TIMEOUT_SHARE = 0.5
 CALL_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 @dataclass(slots=True, frozen=True)
 class UpstreamCall:
-    """A call to an endpoint and how to make it."""
+    """A call to an endpoint, with the options for making it."""
 
     method: str
     address: str
     path: str
     headers: Mapping[str, str] | None = None
     body: bytes | None = None
-    written: asyncio.Event | None = None  # is set once the first bytes may have gone
-    connect_timeout: timedelta | None = None  # shortens the usual one
-    before_write: BeforeWrite | None = None  # is called when the connection is up
+    written: asyncio.Event | None = None  # is set once the first bytes may have been sent
+    connect_timeout: timedelta | None = None  # applies if it is shorter than the configured timeout
+    before_write: BeforeWrite | None = None  # is called once connected, just before the call is written
     for_release: bool = False  # the call may take a socket that is reserved for releases
 
 
 @dataclass(slots=True, frozen=True)
 class CallResponse:
-    """A short response that was read to its end."""
+    """The status and the body of a response that was read to its end."""
 
     status: int
     body: bytes
 
 
 class ConnectionPool:
-    """A client session that never queues for a connection, resends nothing, and bounds its sockets.
+    """A client session that does not queue calls, does not resend them, and limits the number of sockets.
 
-    `release_sockets` of the `max_sockets` are reserved for release calls."""
+    Of the `max_sockets` sockets, `release_sockets` are reserved for release calls."""
 
     def __init__(self, config: RouterConfig, max_sockets: int, release_sockets: int = 0) -> None:
         self.socket_budget = SocketBudget(max_sockets, release_sockets, self._drop_all_idle)
-        # aiohttp's own limit of 100 would let attempts queue unseen: the socket budget bounds them instead.
+        # The socket budget replaces aiohttp's limit of 100 connections, above which attempts would be queued
+        # inside aiohttp.
         self.connector = UpstreamConnector(
             limit=0,
-            keepalive_timeout=to_seconds(config.idle_timeout * IDLE_SHARE),
+            keepalive_timeout=to_seconds(config.idle_timeout * IDLE_TIMEOUT_SHARE),
             use_dns_cache=False,
             happy_eyeballs_delay=None,
             socket_factory=self.socket_budget.open,
         )
-        # Without the usual total timeout of five minutes, which would cut long streams, and no inflating.
+        # aiohttp's total timeout of five minutes is off because it would truncate long streams. Bodies are
+        # not decompressed, because they are relayed unchanged.
         self.session = aiohttp.ClientSession(
             connector=self.connector,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=to_seconds(config.connect_timeout)),
@@ -81,7 +87,7 @@
         return self.connector.drop_idle()
 
     def _trace_config(self) -> TraceConfig:
-        """Return a trace that sets a call's `written` event once bytes are on their way."""
+        """Return a trace configuration that sets a call's `written` event once bytes may have been sent."""
         config = TraceConfig()
         config.on_request_headers_sent.append(self._on_bytes_sent)
         config.on_request_chunk_sent.append(self._on_bytes_sent)
@@ -95,13 +101,14 @@
 
     def request(self, call: UpstreamCall) -> _RequestContextManager:
         """Make a call; return aiohttp's awaitable and context manager for the response."""
-        before_write.set(call.before_write)  # always: a task inherits what its creator's task had set
+        # The hook is set even if it is None, because a task inherits the hook of the task that created it.
+        before_write.set(call.before_write)
         may_use_release_sockets.set(call.for_release)
         timeout = self.session.timeout
         if call.connect_timeout is not None:
             bound = min(to_seconds(call.connect_timeout), timeout.sock_connect or 0.0)
             timeout = aiohttp.ClientTimeout(total=None, sock_connect=bound)
-        # yarl must not rewrite the path and query: they are passed on as they came.
+        # `encoded=True` keeps yarl from rewriting the path and query, which are forwarded unchanged.
         url = URL(f"http://{call.address}{call.path}", encoded=True)
         return self.session.request(
             call.method,
@@ -114,11 +121,11 @@
         )
 
     async def fetch(self, address: str, path: str, timeout: timedelta) -> CallResponse | None:
-        """Fetch a short document; return None where none came in time."""
+        """Make a GET call and return its response, or None if the call fails or times out."""
         return await self._call_within(UpstreamCall("GET", address, path), timeout)
 
     async def call(self, call: UpstreamCall, timeout: timedelta) -> int | None:
-        """Make a call and return the response's status, None where none came in time."""
+        """Make a call and return the response's status, or None if the call fails or times out."""
         response = await self._call_within(call, timeout)
         return None if response is None else response.status
 
--- a/llm_router/transport/upstream_connector.py
+++ b/llm_router/transport/upstream_connector.py
@@ -1,6 +1,7 @@
-"""Makes connections to endpoints: aiohttp's connector with retries of local errors.
+"""Opens connections to endpoints: aiohttp's connector, with retries after local errors.
 
-It uses private parts of the pinned aiohttp release; `tests/transport/test_connections.py` checks them."""
+This module uses private parts of the pinned aiohttp release; `tests/transport/test_connections.py` checks
+that they exist."""
 
 from __future__ import annotations
 
@@ -24,11 +25,12 @@
 from llm_router.transport.resilient_socket import LOCAL_ERRORS, LocalSocketError, SocketLimitError
 from llm_router.transport.upstream_connection import UpstreamConnection
 
-INITIAL_BACKOFF = timedelta(milliseconds=1)  # after a connect that failed locally; doubled with each retry
+# Delay before the first retry after a local connect error. It doubles with each further retry.
+INITIAL_BACKOFF = timedelta(milliseconds=1)
 
 
 class UpstreamConnector(aiohttp.TCPConnector):
-    """aiohttp's connector for `UpstreamConnection`s, whose idle ones can be dropped."""
+    """aiohttp's connector, which opens `UpstreamConnection`s and can close the idle ones."""
 
     def __init__(self, **settings: Any) -> None:  # noqa: ANN401  # aiohttp's
         super().__init__(**settings)
@@ -37,7 +39,7 @@
         )
         self._usual_keepalive_timeout = self._keepalive_timeout
         self.idle_policy = IdleConnectionPolicy(enabled=(self._keepalive_timeout or 0.0) > 0)
-        self.local_failures = 0  # connects that failed because of this machine, in all
+        self.local_failures = 0  # number of connects that failed because of an error on the router's host
 
     def _on_stale(self, idle_seconds: float) -> None:
         self.idle_policy.record_stale(self._loop.time(), idle_seconds)
@@ -47,7 +49,7 @@
         self._keepalive_timeout = self._usual_keepalive_timeout if self.idle_policy.reuses else 0.0
 
     async def _get(self, key: ConnectionKey, traces: list[Trace]) -> Connection | None:
-        """Return an idle connection that is still open, None where there is none."""
+        """Return an idle connection that is still open, or None if there is none."""
         self.idle_policy.update(self._loop.time())
         self._apply_idle_policy()
         while (connection := await super()._get(key, traces)) is not None:
@@ -59,10 +61,10 @@
     async def _create_connection(
         self, req: ClientRequest, traces: list[Trace], timeout: aiohttp.ClientTimeout
     ) -> ResponseHandler:
-        """Make a connection, retrying local failures with a backoff within the connect timeout.
+        """Open a connection; retry local errors with a backoff until the connect timeout is over.
 
-        A network that is unreachable all that time counts as the endpoint's failure: others may be
-        reachable."""
+        If the network stays unreachable until then, the failure counts as one of the endpoint, because other
+        endpoints may be reachable."""
         end = self._loop.time() + (timeout.sock_connect or 0.0)
         backoff = to_seconds(INITIAL_BACKOFF)
         while True:
@@ -75,7 +77,7 @@
             backoff *= 2
 
     def _handle_connect_failure(self, failure: aiohttp.ClientConnectorError, is_last: bool) -> None:
-        """Return where the connect may be retried, raise the final error otherwise."""
+        """Return if the connect may be retried; raise the final error otherwise."""
         error = failure.os_error
         if error.errno not in LOCAL_ERRORS and not isinstance(error, LocalSocketError):
             raise failure
@@ -90,7 +92,7 @@
         raise LocalConnectError(error.errno, str(error)) from error
 
     def drop_idle(self, address: str | None = None) -> int:
-        """Close the idle connections to one endpoint, or to all; return how many there were."""
+        """Close the idle connections to one endpoint or to all; return their number."""
         dropped = 0
         for key, idle in list(self._conns.items()):
             if address not in (None, f"{key.host}:{key.port}"):
@@ -104,9 +106,10 @@
 
 
 def has_pending_input(transport: asyncio.Transport | None) -> bool:
-    """Return whether something has come on an idle connection that the event loop has not seen yet.
+    """Return whether an idle connection has input that the event loop has not read yet.
 
-    That is its end, or bytes that nobody asked for: a request that is written to it may be lost."""
+    The input is unexpected bytes or the connection's end. In both cases a request that is written to the
+    connection may be lost. The result is also true for a connection that is already closed."""
     connection = None if transport is None else transport.get_extra_info("socket")
     if connection is None or connection.fileno() < 0:
         return True
@@ -116,5 +119,5 @@
 
 
 def disable_retries(session: aiohttp.ClientSession) -> None:
-    """Keep aiohttp from resending a DELETE or GET by itself when an idle connection breaks."""
+    """Stop aiohttp from resending a GET or DELETE automatically after a stale connection breaks."""
     session._retry_connection = False
--- a/llm_router/transport/write_hook.py
+++ b/llm_router/transport/write_hook.py
@@ -1,4 +1,4 @@
-"""A client request that calls a hook at the last moment before it is written."""
+"""A client request that calls a hook immediately before it is written."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 import aiohttp
 
-# Is given the headers, which it may complete, and the transport. An error that it raises keeps the request
-# from being written.
+# A hook that is called with the request's headers, which it may change, and with the transport. If it raises
+# an exception, the request is not written.
 BeforeWrite = Callable[[MutableMapping[str, str], asyncio.Transport | None], None]
 
-# The hook of the running task's request. aiohttp creates the request object itself and takes no argument
-# for it, hence a context variable.
+# The hook for the current task's request. It is a context variable because aiohttp creates the request
+# object itself and passes no custom argument to it.
 before_write: ContextVar[BeforeWrite | None] = ContextVar("before_write", default=None)
 
 
 class HookedClientRequest(aiohttp.ClientRequest):
-    """A request whose hook is called once its connection is up, before its first byte is written.
+    """A request whose hook is called once it has a connection, before its first byte is written.
 
-    A connection may take long: the client's remaining time goes down meanwhile, and the endpoint may have
-    begun to drain."""
+    The hook is needed because connecting may take long: the client's time remaining decreases meanwhile, and
+    the endpoint may begin to drain."""
 
     async def send(self, conn: aiohttp.connector.Connection) -> aiohttp.ClientResponse:
         """Call the hook, then write the request."""
