--- a/llm_router/transport/background_tasks.py
+++ b/llm_router/transport/background_tasks.py
@@ -1,4 +1,4 @@
-"""Owns the tasks that the transport starts beside its callers."""
+"""Keeps track of the tasks that the transport starts in the background."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class BackgroundTasks:
-    """The tasks that are running; each is awaited at shutdown, and a failure of one is logged."""
+    """The running background tasks. Shutdown waits for them, and a task that fails is logged."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -22,7 +22,7 @@
         return bool(self._running)
 
     def spawn(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Start a task and own it until its end."""
+        """Start a task and keep a reference to it until it ends."""
         task = self._loop.create_task(work)
         self._running.add(task)
         task.add_done_callback(self._on_done)
@@ -37,5 +37,5 @@
             log.emit("task_failed", error=repr(error))
 
     async def wait(self) -> None:
-        """Wait for the tasks that are running now."""
+        """Wait for all tasks that are running at the time of the call."""
         await asyncio.wait(list(self._running))
--- a/llm_router/transport/discovery.py
+++ b/llm_router/transport/discovery.py
@@ -1,4 +1,4 @@
-"""Watches the discovery agent and feeds the endpoint lists that it returns to the lifecycle."""
+"""Watches discovery and passes the endpoint lists that it returns to the lifecycle."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 from llm_router.transport.clock import elapsed_since, to_milliseconds, to_seconds
 from llm_router.transport.pool import ConnectionPool, UpstreamCall
 
-WATCH_TIMEOUT = timedelta(seconds=2.5)  # for which the agent may hold a watch call open
-# For a response beyond that time, connecting included: an agent answers at once.
+WATCH_TIMEOUT = timedelta(seconds=2.5)  # maximum time for which discovery may hold a watch call open
+# Time limit of a call, from connecting to the end of the response. A watch call gets WATCH_TIMEOUT in
+# addition.
 CALL_TIMEOUT = timedelta(seconds=1.2)
-RETRY_DELAY = timedelta(milliseconds=60)  # after a failed call: the next must come within 200 ms
-MIN_HEDGE_DELAY = timedelta(milliseconds=300)  # then a further list call goes out, as the one before may hang
-# The hedge delay as a multiple of the time that the last list took: an overloaded agent gets no more calls.
+RETRY_DELAY = timedelta(milliseconds=60)  # delay after a failed call; the next call must start within 200 ms
+# Minimum delay before a further call for a full snapshot is started, because the previous one may hang.
+MIN_HEDGE_DELAY = timedelta(milliseconds=300)
+# Hedge delay as a multiple of the duration of the last full snapshot, so that a slow, overloaded discovery
+# does not get more calls.
 HEDGE_MULTIPLE = 2
-MAX_LIST_CALLS = 3  # calls for the list that are out at once
+MAX_LIST_CALLS = 3  # maximum number of concurrent calls for a full snapshot
 LIST_PATH = "/registry/instances"
 CALL_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
 
 
 class Discovery:
-    """A watch on one discovery agent, from the version of its list that is known."""
+    """A watch on one discovery address, which tracks the version of the endpoint list it received last."""
 
     def __init__(
         self,
@@ -41,34 +44,36 @@
     ) -> None:
         self._pool = pool
         self._address = address
-        self._read = read  # raises ValueError for a list that is malformed as a whole
+        self._read = read  # parses a response; raises ValueError if the whole list is malformed
         self._feed = feed
-        self.index: int | None = None  # the version that is known, None where a full snapshot is needed
+        # The version of the endpoint list received last, or None if a full snapshot is needed.
+        self.index: int | None = None
         self._is_failing = False
-        self._list_duration = timedelta()  # how long the last full snapshot took
-        self._last_response: float | None = None  # the loop's time of the last response
+        self._list_duration = timedelta()  # duration of the last call for a full snapshot
+        self._last_response: float | None = None  # event loop time of the last response, in seconds
 
     def __str__(self) -> str:
         return self._address
 
     def reconfigured(self, config: RouterConfig) -> Discovery:
-        """Return a new configuration's watch, which starts with a full snapshot.
+        """Return a watch for a reloaded configuration, which starts with a full snapshot.
 
-        Another agent may number its lists differently."""
+        The version known to the old watch is not used, because another discovery address may number its
+        endpoint lists differently."""
         assert config.discovery is not None, "a configuration with a discovery watch has its address"
         reconfigured = Discovery(self._pool, "{}:{}".format(*config.discovery), self._read, self._feed)
         reconfigured._last_response = self._last_response
         return reconfigured
 
     def accept_list(self, response: object) -> None:
-        """Feed a response: a full snapshot, or changes to a list that is known.
+        """Feed the event for a response, which is a full snapshot or a list of changes.
 
-        Raise ValueError where it is malformed."""
+        Raise ValueError if the response is malformed."""
         if not isinstance(response, dict) or not isinstance(response.get("index"), int):
-            raise ValueError("the list has no index")
+            raise ValueError("endpoint list has no integer index")
         is_full = bool(response.get("snapshot"))
         if not is_full and self.index is not None and response["index"] < self.index:
-            # The agent has restarted: its changes belong to a list that is not known here.
+            # Discovery has restarted: its changes refer to a list that the router does not have.
             self.index = None
             return
         received = self._read(response)
@@ -77,13 +82,13 @@
             self._feed(replace(received, since_last_answer=self._since_last_response()))
 
     def _since_last_response(self) -> timedelta | None:
-        """Return how long ago the last response came, None if there was none."""
+        """Return the time since the last response, or None if there was none."""
         if self._last_response is None:
             return None
         return elapsed_since(self._last_response)
 
     async def watch(self) -> None:
-        """Watch until cancelled."""
+        """Watch discovery until the task is cancelled."""
         while True:
             try:
                 response = await (self._fetch_list() if self.index is None else self._fetch_changes())
@@ -101,21 +106,21 @@
             self._is_failing = False
 
     def _on_failure(self, error: BaseException) -> None:
-        """Note a failed call; a full snapshot is fetched next, as changes may have been missed."""
+        """Record a failed call, and request a full snapshot next because changes may have been missed."""
         if not self._is_failing:
             log.emit("discovery_lost", error=repr(error))
         self._is_failing = True
         self.index = None
 
     async def _fetch_changes(self) -> object:
-        """Fetch what changed since the known version, or changes within the watch timeout."""
+        """Fetch the changes since the known version; wait up to WATCH_TIMEOUT for the next change."""
         path = f"{LIST_PATH}?since={self.index}&timeout_ms={to_milliseconds(WATCH_TIMEOUT)}"
         return await self._fetch(path, WATCH_TIMEOUT + CALL_TIMEOUT)
 
     async def _fetch_list(self) -> object:
-        """Fetch a full snapshot by hedged calls; the first one that is answered counts.
+        """Fetch a full snapshot by hedged calls, and return the first valid response.
 
-        A call that is out when the agent comes back may never be answered."""
+        The calls are hedged because a call made before discovery restarts may never be answered."""
         loop = asyncio.get_running_loop()
         running: set[asyncio.Task[object]] = set()
         next_call = loop.time()
@@ -144,20 +149,20 @@
         return max(MIN_HEDGE_DELAY, HEDGE_MULTIPLE * self._list_duration)
 
     async def _fetch_list_once(self) -> object:
-        """Make one call for a full snapshot, and note how long it took."""
+        """Make one call for a full snapshot, and record its duration."""
         start = asyncio.get_running_loop().time()
         response = await self._fetch(LIST_PATH, CALL_TIMEOUT)
         self._list_duration = elapsed_since(start)
         return response
 
     async def _fetch(self, path: str, timeout: timedelta) -> object:
-        """Make one call and return its parsed response; raise one of CALL_ERRORS where it fails.
+        """Make one call and return its parsed response; raise one of CALL_ERRORS if it fails.
 
-        The timeout covers calls that fall silent or are cut off at any point: a change has to arrive within
-        6 s after the agent has it, and the call after a failed one has to return it by then."""
+        The timeout covers a response that stalls or is truncated at any point. A change in discovery must
+        reach the router within 6 s, even if one call fails and only the next one returns the change."""
         async with asyncio.timeout(to_seconds(timeout)):
             async with self._pool.request(UpstreamCall("GET", self._address, path)) as response:
                 body = await response.read()
         if response.status != 200:
-            raise ValueError(f"status {response.status}")
+            raise ValueError(f"discovery answered with HTTP status {response.status}")
         return orjson.loads(body)
--- a/llm_router/transport/responses.py
+++ b/llm_router/transport/responses.py
@@ -8,19 +8,21 @@
 
 from llm_router.transport.clock import to_seconds
 
-RESPONSE_MARGIN = timedelta(
-    milliseconds=20
-)  # of a client's time remaining, for the answer's way and a busy loop
-MIN_RETRY_AFTER = timedelta(milliseconds=200)  # what a rejected client is told at least
+# Part of a client's time remaining that is kept for sending the final answer and for event loop delays.
+RESPONSE_MARGIN = timedelta(milliseconds=20)
+MIN_RETRY_AFTER = timedelta(milliseconds=200)  # minimum of the Retry-After header in a rejection
 
 
 def request_target(request: web.BaseRequest) -> str:
-    """Return a request's path and query as they came, also where the whole URL was sent."""
+    """Return a request's path and query unchanged; if its request line has a full URL, take them from it."""
     return request.raw_path if request.raw_path.startswith("/") else request.rel_url.raw_path_qs
 
 
 def plain_text_error(status: int, text: str, close: bool = False) -> web.Response:
-    """Return a response that says what is wrong; `close` where what may follow is not to be trusted."""
+    """Return an error response with a plain-text body.
+
+    With `close` the client's connection is closed after it, because the input that follows a malformed
+    request cannot be trusted."""
     response = web.Response(status=status, text=text + "\n")
     if close:
         response.force_close()
@@ -30,5 +32,5 @@
 def retry_after(backoff: timedelta) -> str:
     """Return the value of a Retry-After header, in decimal seconds.
 
-    It has a minimum: a policy without advice (0) would call clients back at once into the same overload."""
+    It is at least MIN_RETRY_AFTER: with a backoff of 0, clients would retry at once during the overload."""
     return f"{to_seconds(max(backoff, MIN_RETRY_AFTER)):.3f}"
--- a/llm_router/transport/supervisor.py
+++ b/llm_router/transport/supervisor.py
@@ -1,4 +1,4 @@
-"""Keeps a long-lived task running: one that ends is logged, counted, started anew."""
+"""Keeps a long-lived task running: when it ends, the supervisor logs this and restarts it."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 from llm_router import log
 from llm_router.transport.clock import elapsed_since, to_seconds
 
-INITIAL_BACKOFF = timedelta(milliseconds=20)  # before a restart; doubled with each further failure
+# Delay before the first restart. It doubles with each further restart, up to MAX_BACKOFF.
+INITIAL_BACKOFF = timedelta(milliseconds=20)
 MAX_BACKOFF = timedelta(milliseconds=500)
-STABLE_AFTER = timedelta(seconds=5)  # work that ran for so long starts with the initial backoff
+STABLE_AFTER = timedelta(seconds=5)  # run time after which a task restarts with the initial backoff again
 
 
 class Supervisor:
-    """Owns a task that is to run until it is stopped."""
+    """A task that runs until it is stopped, and is restarted whenever it ends before that."""
 
     def __init__(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
         self._name = name
         self._work = work
-        self._restarts = 0  # how often the work has ended by itself
+        self._restarts = 0  # number of times the work has ended without being stopped
         self._task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        """Run the work, restarting it with a backoff whenever it ends."""
+        """Run the work, and restart it after a backoff whenever it ends."""
         loop = asyncio.get_running_loop()
         backoff = INITIAL_BACKOFF
         while True:
