--- a/llm_router/transport/upstream_connection.py
+++ b/llm_router/transport/upstream_connection.py
@@ -53,7 +53,7 @@
         self._head_size = 0
         self._head_timer: asyncio.TimerHandle | None = None
 
-    def set_response_params(self, **params: Any) -> None:  # noqa: ANN401  # aiohttp's
+    def set_response_params(self, **params: Any) -> None:  # noqa: ANN401  # the base class takes any type
         """Reset the state for the response to a request that is about to be written."""
         self._response_body = None
         self._interim_responses = 0
--- a/llm_router/transport/upstream_connector.py
+++ b/llm_router/transport/upstream_connector.py
@@ -32,9 +32,9 @@
 class UpstreamConnector(aiohttp.TCPConnector):
     """aiohttp's connector, which opens `UpstreamConnection`s and can close the idle ones."""
 
-    def __init__(self, **settings: Any) -> None:  # noqa: ANN401  # aiohttp's
+    def __init__(self, **settings: Any) -> None:  # noqa: ANN401  # the base class takes any type
         super().__init__(**settings)
-        self._factory = functools.partial(  # type: ignore[assignment]  # makes a kind of ResponseHandler
+        self._factory = functools.partial(  # type: ignore[assignment]  # the factory returns a subclass of ResponseHandler
             UpstreamConnection, loop=self._loop, on_stale=self._on_stale
         )
         self._usual_keepalive_timeout = self._keepalive_timeout
