--- a/llm_router/transport/upstream_connector.py
+++ b/llm_router/transport/upstream_connector.py
@@ -34,7 +34,8 @@
 
     def __init__(self, **settings: Any) -> None:  # noqa: ANN401  # the base class takes any type
         super().__init__(**settings)
-        self._factory = functools.partial(  # type: ignore[assignment]  # the factory returns a subclass of ResponseHandler
+        # The type differs because UpstreamConnection is a subclass of ResponseHandler.
+        self._factory = functools.partial(  # type: ignore[assignment]
             UpstreamConnection, loop=self._loop, on_stale=self._on_stale
         )
         self._usual_keepalive_timeout = self._keepalive_timeout
