--- a/tests/support/gated_deployment.py
+++ b/tests/support/gated_deployment.py
@@ -1,4 +1,4 @@
-"""Run a router before gated endpoints with a record of what these hold."""
+"""Run a router with gated endpoints, and record the KV state and reservations at these endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatedDeployment:
-    """A router, its endpoints by name, and what these hold."""
+    """A router, its endpoints by name, and the record of their KV state and reservations."""
 
     router: RouterProcess
     record: LeaseRecord
@@ -25,26 +25,26 @@
         return self.endpoints[name]
 
     def refuse_all(self) -> None:
-        """Let every endpoint refuse new connections and close the idle ones."""
+        """Make every endpoint refuse new connections and close its idle connections."""
         for endpoint in self.endpoints.values():
             endpoint.refuse()
             endpoint.close_idle()
 
     async def listen_all(self) -> None:
-        """Let every endpoint accept connections after `refuse_all`."""
+        """Make every endpoint accept connections again after `refuse_all`."""
         for endpoint in self.endpoints.values():
             await endpoint.listen()
 
     async def until_leased(self, request_id: str) -> None:
-        """Wait until something has been leased for a request."""
+        """Wait until an endpoint has held KV state or a reservation for a request."""
         await self.record.wait_until(lambda: self.record.of(request_id).ever_leased)
 
     async def until_called(self, endpoint: str, method: str) -> None:
-        """Wait until an endpoint has received a call of a method."""
+        """Wait until an endpoint has received a call that starts with a given method."""
         await self.record.wait_until(lambda: self.endpoints[endpoint].called(method))
 
     async def until_sent(self, start: str, *endpoints: str) -> GatedEndpoint:
-        """Wait until a call whose first line starts so was sent to one of some endpoints; return that one."""
+        """Wait until a call that starts with `start` is sent to one of some endpoints; return it."""
 
         def sent() -> list[GatedEndpoint]:
             candidates = (self.endpoints[name] for name in endpoints)
@@ -58,7 +58,7 @@
 async def gated_deployment(
     tmp_path: Path, settings: Mapping[str, object], kinds: Mapping[str, str]
 ) -> AsyncIterator[GatedDeployment]:
-    """Start a router over gated endpoints with the names and kinds given."""
+    """Start a router with gated endpoints; `kinds` maps the name of each endpoint to its kind."""
     release_timeout = settings["family_info"].get("release_within", 0) / 1e9
     record = LeaseRecord(release_timeout)
     endpoints = {name: GatedEndpoint(record, name, kind) for name, kind in kinds.items()}
--- a/tests/support/gated_endpoint.py
+++ b/tests/support/gated_endpoint.py
@@ -1,4 +1,4 @@
-"""Stand in for an endpoint whose every step waits at a gate that the test can close."""
+"""Stand in for an endpoint whose steps the test can delay with gates (events that can be cleared)."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from llm_router.emulator.http import LAST_CHUNK, Message, chunk, message, read_message
 
 READ_SIZE = 1 << 16  # bytes
-UNKNOWN_RESERVATION_DELAY = 0.3  # seconds after which a reservation with no prefill in flight is answered
+# Delay in seconds of the answer to a reservation call for a request that has no prefill in flight.
+UNKNOWN_RESERVATION_DELAY = 0.3
 
 
 class GatedEndpoint:
-    """A stand-in server of one kind, which records what it holds.
+    """A stand-in endpoint of one kind, which records its KV state and reservations.
 
-    While `inbound` is cleared, what is sent to it is on its way. While `finish` is cleared, no prefill ends
-    and no decode begins its stream."""
+    While `inbound` is cleared, the endpoint does not receive the bytes that are sent to it. While `finish` is
+    cleared, no prefill ends and no decode starts its stream."""
 
     def __init__(self, record: LeaseRecord, name: str, kind: str) -> None:
         self.name = name
@@ -29,13 +30,13 @@
         self.finish.set()
         self.answers_reservations = True
         self.answers_releases = True
-        self.truncates_prefill_responses = False  # their head comes and their body never ends
+        self.truncates_prefill_responses = False  # if True, the last byte of their bodies is never sent
         self.grants_reservations = True
         self.resets_prefills = False
-        self.calls: list[str] = []  # method and path of each
-        self.sent_lines: list[str] = []  # the first line of each piece of data, before the gate let it in
+        self.calls: list[str] = []  # method and path of each received call
+        self.sent_lines: list[str] = []  # first line of each piece of data sent, received or not
         self._record = record
-        self._idle: set[asyncio.StreamWriter] = set()  # connections with no call in flight
+        self._idle: set[asyncio.StreamWriter] = set()  # connections without a call in flight
         self._tasks = BackgroundTasks()
         self._server: asyncio.Server | None = None
         self._port = 0
@@ -53,29 +54,29 @@
         self._tasks.cancel()
 
     async def listen(self) -> None:
-        """Accept connections, at the same address as before."""
+        """Accept connections; after `refuse`, do so at the same address as before."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
     def refuse(self) -> None:
-        """Refuse new connections, as a server does whose table of connections is full."""
+        """Refuse new connections, like an endpoint that has reached its connection limit."""
         self._server.close()
 
     def close_idle(self) -> None:
-        """Close the connections with no call in flight."""
+        """Close the connections without a call in flight."""
         for writer in self._idle:
             writer.close()
 
     def called(self, method: str) -> list[str]:
-        """Return the calls of a method."""
+        """Return the received calls with a given HTTP method."""
         return [call for call in self.calls if call.startswith(method)]
 
     def has_been_sent(self, start: str) -> bool:
-        """Return whether a call whose first line starts so was sent to it, arrived or on its way."""
+        """Return whether a call whose request line starts with `start` was sent, even if not yet received."""
         return any(line.startswith(start) for line in self.sent_lines)
 
     async def _forward(self, source: asyncio.StreamReader, inbound: asyncio.StreamReader) -> None:
-        """Forward what is sent while the gate is open; its end, too, waits there."""
+        """Forward the sent bytes and the end of the connection while the `inbound` gate is open."""
         try:
             while data := await source.read(READ_SIZE):
                 self.sent_lines.append(data.decode("latin-1").partition("\r\n")[0])
@@ -118,7 +119,7 @@
             await self._decode(request_id, inbound, writer)
 
     async def _release(self, request_id: str, writer: asyncio.StreamWriter) -> None:
-        """Free what no attempt waits for."""
+        """Free the KV state and reservations of a request, unless a decode attempt is in flight for it."""
         async with self._record.changing(request_id) as request:
             if not request.decodes:
                 request.leased = set()
@@ -141,8 +142,8 @@
         else:
             writer.write(message("HTTP/1.1 409 Conflict"))
 
-    async def _work(self, inbound: asyncio.StreamReader) -> bool:
-        """Wait until the work may end; return whether that was before the router gave it up."""
+    async def _wait_until_finished(self, inbound: asyncio.StreamReader) -> bool:
+        """Wait for the `finish` gate; return False if the router closes the connection first."""
         finishing = asyncio.ensure_future(self.finish.wait())
         disconnected = asyncio.ensure_future(inbound.read(1))
         await asyncio.wait({finishing, disconnected}, return_when=asyncio.FIRST_COMPLETED)
@@ -163,7 +164,7 @@
             writer.transport.abort()
             self._tasks.spawn(self._finish_orphaned_prefill(request_id))
             return
-        completed = await self._work(inbound)
+        completed = await self._wait_until_finished(inbound)
         async with self._record.changing(request_id, restart_timer=True) as request:
             request.prefills -= 1
             if completed:
@@ -175,7 +176,7 @@
             writer.close()
 
     async def _finish_orphaned_prefill(self, request_id: str) -> None:
-        """End a prefill whose connection was reset; its KV state is leased like any other."""
+        """Complete a prefill whose connection was reset, and record its KV state."""
         await self.finish.wait()
         async with self._record.changing(request_id, restart_timer=True) as request:
             request.leased = {*request.leased, self._kv_state}
@@ -188,7 +189,7 @@
             return
         async with self._record.changing(request_id) as request:
             request.decodes += 1
-        if await self._work(inbound):
+        if await self._wait_until_finished(inbound):
             async with self._record.changing(request_id) as request:
                 request.leased = set()
                 request.answered = True
--- a/tests/support/late_listener.py
+++ b/tests/support/late_listener.py
@@ -1,13 +1,13 @@
-"""Listen at an address whose connections come up late."""
+"""Listen at an address at which connecting takes until the test allows it."""
 
 import asyncio
 import socket
 
-QUEUE_FILLERS = 4  # connections that fill the listener's queue
+QUEUE_FILLERS = 4  # number of connections that fill the listener's accept queue
 
 
 class LateListener:
-    """An address whose connections come up once it is opened: until then the listener's queue is full."""
+    """A listener that completes no connection before `open`, because its accept queue is full until then."""
 
     def __init__(self):
         self.listener = socket.socket()
@@ -21,19 +21,19 @@
             filler.connect_ex(self.listener.getsockname())
 
     def close(self):
-        """Close the listener and what fills its queue."""
+        """Close the listener and the connections that fill its accept queue."""
         for each in (*self.fillers, self.listener):
             each.close()
 
     async def open(self, serve):
-        """Let connections come up, and return the server that serves them."""
+        """Let connections complete, and return the server that serves them."""
         self.drain_queue()
         for filler in self.fillers:
             filler.close()
         return await asyncio.start_server(serve, sock=self.listener)
 
     def drain_queue(self):
-        """Accept and close what fills the queue."""
+        """Accept and close the connections that fill the accept queue."""
         while True:
             try:
                 accepted, _ = self.listener.accept()
--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -1,4 +1,4 @@
-"""Serve an endpoint list as discovery's agent does, which a test can change and take down."""
+"""Stand in for discovery: serve an endpoint list that a test can change, and go offline on demand."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 
 class StandInDiscovery(StandInServer):
-    """Discovery's agent: an endpoint list that can be changed under a watch."""
+    """A stand-in for discovery, which serves one endpoint list to its watches."""
 
     def __init__(self, entries):
         super().__init__(self.answer)
@@ -18,7 +18,7 @@
         self.changed = asyncio.Condition()
 
     async def answer(self, call, writer):
-        """Answer a watch once there is a change, any other call at once."""
+        """Answer a watch call once the endpoint list changes, and any other call at once."""
         path = call[0].split()[1]
         since = int(path.partition("since=")[2].partition("&")[0] or 0)
         async with self.changed:
@@ -27,7 +27,7 @@
         writer.write(message("HTTP/1.1 200 OK", json.dumps(body).encode()))
 
     async def take_offline(self):
-        """Refuse connections and reset the open ones; return what brings it back at its address."""
+        """Refuse connections and reset the open ones; return a function that restarts it at its address."""
         host, port = self.address.split(":")
         self.server.close()
         for transport in list(self.open):
@@ -39,7 +39,7 @@
         return restart
 
     async def publish(self, entries):
-        """Replace the endpoint list."""
+        """Replace the endpoint list, and answer the waiting watch calls."""
         async with self.changed:
             self.entries = entries
             self.index += 1
@@ -47,7 +47,7 @@
 
 
 def registry_entry(name, address, kind, status="Ready"):
-    """Return an entry of the endpoint list."""
+    """Return an endpoint's entry in the endpoint list."""
     return {
         "name": name,
         "address": address,
--- a/tests/support/stand_in_server.py
+++ b/tests/support/stand_in_server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP calls by a function that the test gives, and record them."""
+"""Serve HTTP calls with a handler that the test provides, and record the calls."""
 
 import asyncio
 
@@ -8,14 +8,14 @@
 
 
 class StandInServer:
-    """A server that answers each call by `handler(call, writer)`, and records what arrives."""
+    """An HTTP server that records each call and answers it with `handler(call, writer)`."""
 
     def __init__(self, handler):
         self.handler = handler
         self.calls = []
         self.call_received = asyncio.Condition()
-        self.closed = asyncio.Queue()  # the calls whose connection ended before their answer
-        self.open = set()  # transports of the connections that are open
+        self.closed = asyncio.Queue()  # calls whose connection was closed before they were answered
+        self.open = set()  # transports of the open connections
 
     async def __aenter__(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -39,13 +39,13 @@
             writer.close()
 
     async def record(self, call):
-        """Record a call, and wake who waits for it."""
+        """Record a call, and wake the tasks that wait for calls."""
         async with self.call_received:
             self.calls.append(call)
             self.call_received.notify_all()
 
     async def answer_unless_closed(self, call, reader, writer):
-        """Answer a call; return whether that ended before the other side closed the connection."""
+        """Answer a call, unless the client closes the connection first; return whether it was answered."""
         answering = asyncio.ensure_future(self.handler(call, writer))
         disconnected = asyncio.ensure_future(reader.read(1))
         await asyncio.wait({answering, disconnected}, return_when=asyncio.FIRST_COMPLETED)
@@ -58,11 +58,11 @@
         return True
 
     def named(self, start):
-        """Return the calls whose first line starts so."""
+        """Return the recorded calls whose request line starts with `start`."""
         return [call for call in self.calls if call[0].startswith(start)]
 
     async def wait_for(self, start, count=1):
-        """Wait until so many calls whose first line starts so have arrived, and return them."""
+        """Wait for `count` calls whose request line starts with `start`, and return these calls."""
         async with self.call_received:
             await within(self.call_received.wait_for(lambda: len(self.named(start)) >= count))
         return self.named(start)
