--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests of the transport in this process."""
+"""Fixtures for tests that run the transport in the test process."""
 
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class RuntimeWithEndpoints:
-    """A runtime that knows one prefill and one decode endpoint."""
+    """A runtime with one prefill and one decode endpoint."""
 
     runtime: Runtime
     prefill: StandInServer
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def runtime_with_endpoints():
-    """Return an async context manager for a runtime; `changes` are of its configuration."""
+    """Return an async context manager for a runtime, whose configuration gets the given `changes`."""
 
     @asynccontextmanager
     async def running(prefill=accept_release, decode=accept_release, **changes):
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def configuration():
-    """Return a function that makes a configuration, with the given changes."""
+    """Return a function that creates a configuration with the given changes."""
 
     def make(**changes):
         addresses = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
@@ -52,5 +52,5 @@
 
 @pytest.fixture
 def never_blocked(monkeypatch):
-    """Let no poll for input count as one that waited, however long a busy machine takes over it."""
+    """Raise the threshold above which a poll counts as blocked, so that a busy host cannot reach it."""
     monkeypatch.setattr("llm_router.transport.event_loop.BLOCKED_THRESHOLD", 60.0)
--- a/tests/transport/test_acknowledgement.py
+++ b/tests/transport/test_acknowledgement.py
@@ -1,4 +1,4 @@
-"""The kernel's account of what the other end's machine has acknowledged, over real connections."""
+"""Tests of the detection of unacknowledged bytes, on real TCP connections."""
 
 import asyncio
 import socket
@@ -24,7 +24,7 @@
 
 
 async def connection():
-    """Return a client's transport, and the other end's socket with a small buffer."""
+    """Return the client's writer, and the peer's socket with a small receive buffer."""
     listener = small_listener()
     _, writer = await asyncio.open_connection(*listener.getsockname())
     accepted, _ = listener.accept()
@@ -33,13 +33,13 @@
     return writer, accepted
 
 
-def test_what_the_other_machine_took_is_acknowledged_and_what_it_did_not_take_is_not():
+def test_received_bytes_count_as_acknowledged_and_bytes_over_the_buffers_do_not():
     async def test():
         writer, accepted = await connection()
         writer.write(b"x" * 1000)
         await asyncio.sleep(0.06)
         assert unacknowledged_bytes(writer.transport) == 0
-        writer.write(b"x" * (8 << 20))  # more than both ends buffer, and nobody reads
+        writer.write(b"x" * (8 << 20))  # more than both kernels buffer, and the peer does not read
         await asyncio.sleep(0.06)
         assert unacknowledged_bytes(writer.transport) > 0
         writer.transport.abort()
@@ -48,7 +48,7 @@
     run(test())
 
 
-def test_the_timer_reports_bytes_that_are_still_on_their_way_and_no_others():
+def test_the_timer_reports_unacknowledged_bytes_only():
     async def test():
         loop, reports = asyncio.get_running_loop(), asyncio.Queue()
         for size, missing in ((1000, False), (8 << 20, True)):
@@ -67,14 +67,14 @@
             writer.transport.abort()
             accepted.close()
         await asyncio.sleep(2 * to_seconds(ACKNOWLEDGEMENT_TIMEOUT))
-        assert reports.empty(), "a timer that was stopped reports nothing"
+        assert reports.empty(), "a stopped timer must not report"
 
     run(test())
 
 
-def test_what_is_unacknowledged_of_a_call_that_is_given_up_never_arrives(configuration):
-    """The kernel would go on sending after a plain close, and the endpoint would run it for nobody."""
-    size = 150_000  # more than the other end's small buffer takes, and less than our kernel's
+def test_unacknowledged_bytes_of_a_cancelled_call_are_discarded(configuration):
+    """Guard against a plain close, after which the kernel would send the rest and the call would run."""
+    size = 150_000  # bytes; more than the peer's receive buffer holds, less than the kernel's send buffer
 
     async def test():
         listener = small_listener()
@@ -88,7 +88,7 @@
 
         sending = asyncio.ensure_future(send())
         accepted, _ = await loop.sock_accept(listener)
-        await asyncio.sleep(0.3)  # all is in the machines' buffers, or on its way
+        await asyncio.sleep(0.3)  # until all bytes are in the kernels' buffers or in transit
         sending.cancel()
         await within(asyncio.wait({sending}))
         await asyncio.sleep(0.1)
--- a/tests/transport/test_connections.py
+++ b/tests/transport/test_connections.py
@@ -1,4 +1,4 @@
-"""What the transport uses of aiohttp's private parts is there in the pinned release."""
+"""Tests that the pinned aiohttp release has the private parts that the transport uses."""
 
 import asyncio
 from pathlib import Path
@@ -14,11 +14,11 @@
 PINS = (Path(__file__).parents[2] / "requirements.txt").read_text().split()
 
 
-def test_the_release_is_the_required_one():
+def test_the_installed_aiohttp_is_the_pinned_release():
     assert f"aiohttp=={aiohttp.__version__}" in PINS
 
 
-def test_the_private_parts_are_there():
+def test_the_private_parts_of_aiohttp_exist():
     assert {"_request_count", "_messages"} <= set(RequestHandler.__slots__)
     assert hasattr(RequestHandler, "_resume_transport_reading")
     assert _ErrInfo(400, ValueError(), "x").status == 400
--- a/tests/transport/test_pool.py
+++ b/tests/transport/test_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool: its bounds, its idle connections, and calls that are given up."""
+"""Tests of the connection pool: its socket limit, idle and stale connections, and cancelled calls."""
 
 import asyncio
 import socket
@@ -23,7 +23,7 @@
 
 
 def proxied_request(answered):
-    """Return a request whose event is set by its rejection or failure."""
+    """Return a stand-in for a proxied request; its rejection or failure sets the event `answered`."""
     upstream_request = UpstreamRequest("POST", "/v1/chat/completions", {}, b"{}")
     return SimpleNamespace(
         upstream_request=lambda _: upstream_request,
@@ -32,7 +32,7 @@
     )
 
 
-def test_connections_are_bounded_and_idle_ones_give_way(runtime_with_endpoints):
+def test_connections_are_limited_and_idle_ones_are_closed_for_new_ones(runtime_with_endpoints):
     async def test():
         async with runtime_with_endpoints(limits=SMALL_LIMITS) as deployment:
             pool = deployment.runtime.pool
@@ -52,14 +52,14 @@
             budget = pool.socket_budget
             form = (socket.AF_INET, socket.SOCK_STREAM, 0)
             closed = [budget.open(form) for _ in range(budget.max_sockets - budget.release_sockets)]
-            for each in closed:  # still referred to, as by the cycles that only the garbage collector ends
+            for each in closed:  # the references stay, as in reference cycles before a garbage collection
                 each.close()
             assert await pool.call(release(deployment.prefill), TIMEOUT) == 204
 
     asyncio.run(test())
 
 
-def test_a_silent_endpoint_gets_its_idle_connections_dropped(runtime_with_endpoints):
+def test_idle_connections_to_an_endpoint_that_does_not_answer_are_closed(runtime_with_endpoints):
     async def silent_on_post(call, writer):
         if call[0].startswith("POST"):
             await asyncio.Event().wait()
@@ -77,7 +77,7 @@
             runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
             await within(answered.wait())
             assert pool.connector.drop_idle(deployment.prefill.address) == 0, (
-                "none is left to wait on in vain"
+                "no idle connection to the silent endpoint may be left"
             )
             assert pool.connector.drop_idle(deployment.decode.address) == 3
             await within(runtime.wait_until_idle())
@@ -85,7 +85,7 @@
     asyncio.run(test())
 
 
-def test_stale_connections_are_reported_as_such_and_then_none_is_reused(monkeypatch, runtime_with_endpoints):
+def test_several_stale_connections_are_reported_and_suspend_the_reuse(monkeypatch, runtime_with_endpoints):
     broken = asyncio.Event()
     ended = []
     handle_attempt_ended = reducer.HANDLERS[AttemptEnded]
@@ -111,7 +111,7 @@
             assert await asyncio.gather(*calls) == [204, 204] and policy.reuses
             broken.set()
             assert await pool.call(release(deployment.prefill, "b"), TIMEOUT) is None
-            assert policy.reuses, "one alone may have been closed as idle"
+            assert policy.reuses, "one stale connection must not suspend the reuse"
             answered = asyncio.Event()
             runtime.proxied_requests["q"] = proxied_request(answered)
             runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
@@ -121,13 +121,13 @@
             assert (
                 ends[0] == (AttemptStatus.RESET, ConnectionFault.STALE)
                 and (AttemptStatus.RESET, ConnectionFault.NONE) in ends
-            ), "the next were new ones"
+            ), "the attempts after the stale connection must use new connections"
             assert not policy.reuses
 
     asyncio.run(test())
 
 
-def test_connections_closed_by_us_or_closed_while_idle_are_not_stale(runtime_with_endpoints):
+def test_connections_closed_by_the_router_or_while_idle_are_not_stale(runtime_with_endpoints):
     silent = asyncio.Event()
 
     async def answers(call, writer):
@@ -135,7 +135,7 @@
             await asyncio.Event().wait()
         await accept_release(call, writer)
         if call[0].startswith("GET"):
-            writer.close()  # right behind the answer, as what is idle is closed
+            writer.close()  # directly after the response, like an endpoint that closes an idle connection
 
     async def test():
         async with runtime_with_endpoints(prefill=answers) as deployment:
@@ -147,8 +147,10 @@
                 return await asyncio.gather(*(pool.call(call, timeout) for _ in range(4)))
 
             assert await call_four_times("DELETE") == [204] * 4
-            assert await call_four_times("GET") == [204] * 4, "on the idle connections"
-            while await call_four_times("DELETE") != [204] * 4:  # some may meet a close on its way
+            assert await call_four_times("GET") == [204] * 4, "the calls must succeed on the idle connections"
+            while (
+                await call_four_times("DELETE") != [204] * 4
+            ):  # some calls may be sent while a close arrives
                 pass
             stale_before = policy.stale_at.copy()
             silent.set()
@@ -159,9 +161,11 @@
     asyncio.run(test())
 
 
-def test_an_idle_connection_whose_end_is_not_yet_seen_is_not_used_again(runtime_with_endpoints):
-    """A request that must not run twice was lost on a connection that its endpoint was just closing, as the
-    event loop had not come to its end yet. It showed as 59 of 60 requests served, beside other work."""
+def test_an_idle_connection_with_an_unread_close_is_not_reused(runtime_with_endpoints):
+    """Guard against a request lost on a connection that its endpoint has closed.
+
+    On a busy host the event loop may not have read the close yet. Because of this, only 59 of 60 requests
+    that must not run twice were served."""
 
     def answer_and_close(listener, may_close, closed):
         connection, _ = listener.accept()
@@ -184,15 +188,15 @@
                 call = UpstreamCall("DELETE", f"127.0.0.1:{listener.getsockname()[1]}", "/v1/holds/a")
                 assert await deployment.runtime.pool.call(call, TIMEOUT) == 204
                 may_close.set()
-                closed.wait()  # without a turn of the event loop
+                closed.wait()  # blocks the event loop, so that it does not read the close
                 assert await deployment.runtime.pool.call(call, TIMEOUT) == 204
             endpoint.join()
 
     asyncio.run(test())
 
 
-def test_a_request_given_up_half_written_is_never_written_to_its_end(runtime_with_endpoints):
-    large = b"x" * (32 << 20)  # more than both ends of a connection take for an endpoint that does not read
+def test_a_request_cancelled_while_partly_written_is_not_completed(runtime_with_endpoints):
+    large = b"x" * (32 << 20)  # more than both kernels buffer for an endpoint that does not read
 
     async def test():
         arrived, resumed, ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
--- a/tests/transport/test_release_client.py
+++ b/tests/transport/test_release_client.py
@@ -1,4 +1,4 @@
-"""Release calls: one that is cancelled is closed, and each finds a socket."""
+"""Tests of release calls: cancellation, and the sockets reserved for them."""
 
 import asyncio
 from datetime import timedelta
@@ -19,7 +19,7 @@
     return next(each for each in runtime.state.endpoints.values() if each.name == name)
 
 
-def test_a_release_call_that_is_cancelled_is_closed_and_feeds_nothing_back(runtime_with_endpoints):
+def test_a_cancelled_release_call_closes_its_connection_and_feeds_no_event(runtime_with_endpoints):
     called = asyncio.Event()
 
     async def silent(_call, _writer):
@@ -42,7 +42,7 @@
     asyncio.run(test())
 
 
-def test_a_release_finds_a_socket_though_attempts_have_taken_all_that_they_may(runtime_with_endpoints):
+def test_a_release_call_gets_a_socket_while_attempts_use_all_other_sockets(runtime_with_endpoints):
     async def test():
         limits = {"sockets": 64, "memory_mb": 96}
         async with runtime_with_endpoints(prefill=hang, limits=limits) as deployment:
--- a/tests/transport/test_reservation_client.py
+++ b/tests/transport/test_reservation_client.py
@@ -1,4 +1,4 @@
-"""Reservation calls: one that is late, or whose reason has gone, is not written."""
+"""Tests that a reservation call is not written once its prefill has ended or its endpoint drains."""
 
 import asyncio
 from dataclasses import replace
@@ -18,15 +18,15 @@
 
 
 def written_prefill():
-    """Return a running prefill that has been written."""
+    """Return a running prefill attempt whose request has been written."""
     attempt = RunningAttempt(asyncio.get_running_loop().create_future(), asyncio.Event())
     attempt.written.set()
     return attempt
 
 
-def test_a_reservation_call_not_written_by_the_end_of_the_prefill_is_dropped():
+def test_a_reservation_call_is_cancelled_if_the_prefill_ends_before_it_is_written():
     class SlowPool:
-        """Connections come up when `up` is set."""
+        """A connection pool whose connections open once the event `up` is set."""
 
         def __init__(self):
             self.up, self.calls, self.written = asyncio.Event(), 0, 0
@@ -55,7 +55,7 @@
     asyncio.run(test())
 
 
-def test_a_reservation_is_checked_once_more_when_its_connection_is_up(runtime_with_endpoints):
+def test_a_reservation_is_checked_again_once_its_connection_is_open(runtime_with_endpoints):
     async def test():
         async with runtime_with_endpoints(decode=hang) as deployment:
             runtime = deployment.runtime
--- a/tests/transport/test_runtime.py
+++ b/tests/transport/test_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime in this process, for what the real program meets too rarely to be tested from outside."""
+"""Tests of the runtime in the test process, for cases that are rare in a running router."""
 
 import asyncio
 from datetime import timedelta
@@ -25,14 +25,14 @@
     asyncio.run(test())
 
 
-def test_an_event_that_fails_does_not_drop_the_events_after_it(monkeypatch, runtime_with_endpoints):
+def test_an_exception_in_one_event_does_not_drop_the_queued_events(monkeypatch, runtime_with_endpoints):
     async def test():
         async with runtime_with_endpoints() as deployment:
             runtime, handled = deployment.runtime, []
 
             def fails(_state, _now, _event):
-                runtime.feed(ClientDisconnected("after"))  # it comes while this one is being handled
-                raise RuntimeError("a fault of ours")
+                runtime.feed(ClientDisconnected("after"))  # is queued while the first event is handled
+                raise RuntimeError("internal error of the router")
 
             def record(*_):
                 handled.append("after")
--- a/tests/transport/test_upstream_connection.py
+++ b/tests/transport/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: malformed responses, and reuse."""
+"""Tests of connections to endpoints: malformed responses, and reuse of idle connections."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("opening", [b"", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"])
-def test_the_error_of_a_malformed_response_is_raised_where_it_is_awaited(opening):
+def test_a_malformed_response_raises_an_error_in_the_task_that_awaits_it(opening):
     async def malformed(_call, writer):
         writer.write(opening)
         await writer.drain()
@@ -30,7 +30,7 @@
     asyncio.run(test())
 
 
-def test_an_idle_connection_serves_the_next_call():
+def test_an_idle_connection_is_reused_for_the_next_call():
     async def answer(_call, writer):
         writer.write(message("HTTP/1.1 200 OK", b"x"))
 
