--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -1,4 +1,6 @@
-"""Clients and endpoints that send what nobody should: what is bad ends, and the rest goes on."""
+"""Tests with clients and endpoints that send malformed data.
+
+Their requests and connections must end in time, and other requests must be served as usual."""
 
 import asyncio
 import time
@@ -31,7 +33,7 @@
     return BARE + b"\r\n" + line + b"\r\n\r\n" + body
 
 
-BAD = {
+MALFORMED_REQUESTS = {
     "both lengths": with_head(b"Content-Length: 4\r\nTransfer-Encoding: chunked", b"0\r\n\r\n" + HIDDEN),
     "both, reversed": with_head(b"Transfer-Encoding: chunked\r\nContent-Length: 4", b"0\r\n\r\n" + HIDDEN),
     "both, mixed case": with_head(
@@ -58,15 +60,15 @@
     "half a head": HEAD[:60],
     "half a body": HEAD + b"\r\n\r\n" + BODY[:7],
     "no id": chat_request().replace(b"X-Correlation-Id: r1\r\n", b""),
-    "a line that goes on": HEAD + b"\r\nX-Folded: 1\r\n 2\r\n\r\n" + BODY,
+    "a folded header line": HEAD + b"\r\nX-Folded: 1\r\n 2\r\n\r\n" + BODY,
     "a bare line feed": HEAD.replace(b"\r\n", b"\n") + b"\n\n" + BODY,
     "a null byte": HEAD + b"\r\nX-Null: \0\r\n\r\n" + BODY,
-    "HTTP 9": chat_request().replace(b"HTTP/1.1", b"HTTP/9.9"),
+    "HTTP version 9.9": chat_request().replace(b"HTTP/1.1", b"HTTP/9.9"),
 }
 
 
 async def send_until_end(program, request):
-    """Send bytes and return what comes back up to the connection's end."""
+    """Send a request and return all bytes received until the router closes the connection."""
     reader, writer = await program.connect()
     got = b""
     try:
@@ -84,43 +86,47 @@
     writer.write(message("HTTP/1.1 200 OK", ANSWER, Content_Type="application/json"))
 
 
-async def all_end(program, path, servers):
+async def check_malformed_requests(program, path, servers):
+    """Check that each malformed request gets an error or a close within 3 s, and reaches no endpoint."""
+
     async def one(name, data):
         begun = time.monotonic()
         got = await send_until_end(program, data.replace(b"/v1/chat/completions", path))
         assert time.monotonic() - begun < 3, name
         assert not got or got.split()[1][:1] in b"45", (name, got)
 
-    await asyncio.gather(*(one(*each) for each in BAD.items()))
-    assert not any(server.named("POST") for server in servers), "nothing of it was passed on"
+    await asyncio.gather(*(one(*each) for each in MALFORMED_REQUESTS.items()))
+    assert not any(server.named("POST") for server in servers), "no malformed request may reach an endpoint"
 
 
-def test_what_a_bad_client_sends_ends_within_three_seconds_and_reaches_nobody(tmp_path):
+def test_malformed_requests_end_within_three_seconds_and_reach_no_endpoint(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
-            await all_end(program, b"/v1/chat/completions", [program.prefill_server, program.decode_server])
+            await check_malformed_requests(
+                program, b"/v1/chat/completions", [program.prefill_server, program.decode_server]
+            )
             assert (await program.exchange(chat_request(id="good")))[0].split()[1] == "200"
             assert not await program.stop_and_read_internal_errors()
 
     run(test())
 
 
-def test_what_a_bad_client_sends_ends_on_the_v2_frontend_too(tmp_path):
+def test_malformed_requests_end_on_the_v2_frontend(tmp_path):
     async def test():
         async with StandInServer(answer_v2) as server, sidecar(tmp_path, server) as program:
-            await all_end(program, b"/v2/models/desk/infer", [server])
+            await check_malformed_requests(program, b"/v2/models/desk/infer", [server])
             assert await status(program, infer()) == 200
             assert not await program.stop_and_read_internal_errors()
 
     run(test())
 
 
-def test_what_waits_behind_a_bad_request_is_not_taken(tmp_path):
+def test_a_request_pipelined_after_a_malformed_one_is_not_accepted(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             for name in ("both lengths", "both, reversed", "noise", "a length too short"):
                 got = await send_until_end(
-                    program, chat_request(id="before") + BAD[name] + chat_request(id="behind")
+                    program, chat_request(id="before") + MALFORMED_REQUESTS[name] + chat_request(id="behind")
                 )
                 assert got.count(b" 400 Bad") == 1 and got.count(b" 200 OK") <= 1, (name, got)
             calls = program.prefill_server.named("POST") + program.decode_server.named("POST")
@@ -130,7 +136,7 @@
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 60000000", b"Transfer-Encoding: chunked"])
-def test_sixty_megabytes_are_answered_though_the_client_reads_only_when_all_is_sent(tmp_path, framing):
+def test_a_60_mb_body_gets_413_even_if_the_client_reads_after_sending_it_all(tmp_path, framing):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             begun = time.monotonic()
@@ -144,12 +150,12 @@
             assert time.monotonic() - begun < 6
             with open(f"/proc/{program.process.pid}/status") as file:
                 peak = next(int(line.split()[1]) for line in file if line.startswith("VmHWM"))
-            assert peak < 64 * 1024, "kilobytes: nothing of it is kept"
+            assert peak < 64 * 1024, "peak memory in KiB: the body must not be kept"
 
     run(test())
 
 
-def test_an_id_in_use_gets_an_error_and_leaves_the_first_request_alone(tmp_path):
+def test_an_id_in_use_gets_an_error_and_does_not_affect_the_first_request(tmp_path):
     go_on = asyncio.Event()
 
     async def waits(call, writer):
@@ -186,7 +192,7 @@
     run(test())
 
 
-MALFORMED = {
+MALFORMED_RESPONSES = {
     "noise": bytes(range(128, 256)),
     "text": b"oops, this is no HTTP at all\r\n\r\n",
     "a head without end": b"HTTP/1.1 200 OK\r\n" + b"X-More: 1\r\n" * 20_000,
@@ -198,7 +204,7 @@
     "an empty stream": STREAM + b"0\r\n\r\n",
     "three gigabytes at once": STREAM + b"c0000000\r\n" + b"x" * 200_000,
 }
-MALFORMED_LATER = {
+MALFORMED_LATER_PARTS = {
     "a bad size": b"zz\r\n" + EVENT,
     "a size too small": b"4\r\n" + EVENT + b"\r\n",
     "a size too large": b"f0\r\n" + EVENT + b"\r\n" + chunk(EVENT) * 20,
@@ -210,7 +216,7 @@
 
 
 def writes(data, then=b"", go_on=None):
-    """Return a decode endpoint whose stream is these bytes, on a connection that stays open."""
+    """Return a handler that writes `data`, and `then` once `go_on` is set, and keeps the connection open."""
 
     async def answer(call, writer):
         if not call[0].startswith("POST /v1/chat"):
@@ -224,7 +230,7 @@
     return answer
 
 
-def test_a_stream_malformed_at_its_start_may_have_run(tmp_path):
+def test_a_request_whose_stream_is_malformed_at_its_start_counts_as_run(tmp_path):
     async def one(folder, name, data):
         folder.mkdir()
         async with (
@@ -233,25 +239,25 @@
         ):
             booked = await program.exchange(chat_request(cls="booking"))
             assert booked[0].split()[1] == "502", (name, booked)
-            assert len(program.decode_server.named("POST /v1/chat")) == 1, "it may have run"
-            assert await program.decode_server.closed.get(), "its connection is not used again"
+            assert len(program.decode_server.named("POST /v1/chat")) == 1, "the request must not be repeated"
+            assert await program.decode_server.closed.get(), "the connection must be closed"
             await program.discovery.publish(
                 [*program.entries, registry_entry("w2", second.address, "decode")]
             )
             while (await program.wait_for_log("endpoint_list_updated"))["known"] != 3:
                 pass
-            for number in range(4):  # a safe one goes to the other decode endpoint, if it met the bad one
+            for number in range(4):  # a safe request is retried at the other decode endpoint
                 assert (await program.exchange(chat_request(id=f"s{number}")))[0].split()[1] == "200", name
             assert not await program.stop_and_read_internal_errors()
 
     async def test():
-        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED.items()))
+        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_RESPONSES.items()))
         await asyncio.gather(*tasks)
 
     run(test())
 
 
-def test_a_stream_malformed_later_ends_its_client_and_nothing_malformed_goes_out(tmp_path):
+def test_a_stream_malformed_after_its_start_ends_and_no_malformed_event_is_sent(tmp_path):
     async def one(folder, name, data):
         folder.mkdir()
         go_on = asyncio.Event()
@@ -269,17 +275,17 @@
             assert await program.decode_server.closed.get()
             with open(f"/proc/{program.process.pid}/status") as file:
                 peak = next(int(line.split()[1]) for line in file if line.startswith("VmHWM"))
-            assert peak < 64 * 1024, "kilobytes"
+            assert peak < 64 * 1024, "peak memory in KiB"
 
     async def test():
-        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_LATER.items()))
+        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_LATER_PARTS.items()))
         await asyncio.gather(*tasks)
 
     run(test())
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_what_comes_before_a_good_answer_or_after_it_does_no_harm(tmp_path, late):
+def test_unexpected_bytes_before_or_after_a_response_do_not_affect_it(tmp_path, late):
     second_answer = STREAM + chunk(b'data: {"not":"yours"}\n\n') + b"0\r\n\r\n"
 
     async def more(call, writer):
@@ -305,7 +311,7 @@
     run(test())
 
 
-def test_malformed_answers_on_the_v2_frontend_may_have_run(tmp_path):
+def test_a_request_whose_response_is_malformed_on_the_v2_frontend_counts_as_run(tmp_path):
     async def one(folder, name, data):
         async def answer(call, writer):
             writer.write(data)
@@ -327,13 +333,13 @@
             assert not await program.stop_and_read_internal_errors()
 
     async def test():
-        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED.items()))
+        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_RESPONSES.items()))
         await asyncio.gather(*tasks)
 
     run(test())
 
 
-def test_a_prefill_endpoint_whose_answer_is_malformed_is_not_the_end(tmp_path):
+def test_a_malformed_prefill_response_leads_to_a_rejection(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path, prefill=never_prefill) as program:
             program.prefill_server.handler = writes(b"\x80\x81\r\n\r\n")
