--- a/tests/transport/test_acknowledgement.py
+++ b/tests/transport/test_acknowledgement.py
@@ -88,7 +88,7 @@
 
         sending = asyncio.ensure_future(send())
         accepted, _ = await loop.sock_accept(listener)
-        await asyncio.sleep(0.3)  # until all bytes are in the kernels' buffers or in transit
+        await asyncio.sleep(0.3)  # all bytes are then in the kernels' buffers or in transit
         sending.cancel()
         await within(asyncio.wait({sending}))
         await asyncio.sleep(0.1)
--- a/tests/transport/test_discovery.py
+++ b/tests/transport/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as a router instance meets it: after each kind of failed call the list is up to date in time."""
+"""Tests of the discovery watch: after each kind of failed call the endpoint list is updated in time."""
 
 import asyncio
 import json
@@ -16,7 +16,8 @@
 from llm_router.transport.pool import DISCOVERY_SOCKETS, ConnectionPool
 from llm_router.transport.resource_limits import may_use_release_sockets
 
-UPDATE_TIMEOUT = 6.0  # seconds after discovery had a change and could be reached
+# Maximum time in seconds until a router has a change, from when discovery has it and can be reached.
+UPDATE_TIMEOUT = 6.0
 OLD, NEW = registry_entry("old", "127.0.0.1:1", "prefill"), registry_entry("new", "127.0.0.1:2", "decode")
 SNAPSHOT = {"index": 7, "snapshot": True, "endpoints": [NEW]}
 
@@ -86,7 +87,9 @@
 
 @asynccontextmanager
 async def running_watch(answer, known=True):
-    """Run a watch of a stand-in; yield it, the lists that it feeds, and the stand-in."""
+    """Run a watch on a stand-in; yield the watch, the queue of the lists that it feeds, and the stand-in.
+
+    With `known` the watch starts with an endpoint list, otherwise without one."""
     lists = asyncio.Queue()
     async with StandInServer(answer) as agent:
         config = platform_configuration(
@@ -106,7 +109,7 @@
 
 
 def fails_once(failure):
-    """Return an agent's answers: one call fails, full snapshots are returned, watches wait."""
+    """Return a handler that fails the first call, answers with full snapshots and holds watch calls open."""
     failed = False
 
     async def answer(call, writer):
@@ -125,7 +128,7 @@
 
 
 async def recover(failure, known):
-    """Let one call fail; return the list that came, whether it is a full snapshot, and how long it took."""
+    """Fail one call; return the names in the next list, whether it is a full snapshot, and the duration."""
     async with running_watch(fails_once(failure), known) as (_, lists, _):
         begun = asyncio.get_running_loop().time()
         listed = await within(lists.get())
@@ -134,19 +137,19 @@
 
 
 @pytest.mark.parametrize("known", [True, False], ids=["watching", "at the start"])
-def test_the_list_is_up_to_date_within_six_seconds_of_each_kind_of_failed_call(known):
+def test_the_endpoint_list_is_updated_within_six_seconds_of_each_kind_of_failed_call(known):
     async def test():
         ends = await asyncio.gather(*(recover(failure, known) for failure in FAILURES))
         for failure, (names, is_full, took) in zip(FAILURES, ends, strict=True):
             assert (names, is_full) == (["new"], True), (
-                f"{failure.__name__}: a broken watch fetches a full snapshot"
+                f"{failure.__name__}: a full snapshot must be fetched after a failed call"
             )
             assert took < UPDATE_TIMEOUT, failure.__name__
 
     asyncio.run(test())
 
 
-def test_two_consecutive_silent_calls_leave_time_for_the_third():
+def test_the_list_is_updated_in_time_after_two_consecutive_unanswered_calls():
     async def test():
         calls = 0
 
@@ -161,9 +164,9 @@
     asyncio.run(test())
 
 
-def test_a_reload_moves_the_watch_in_time_from_an_address_that_accepts_no_connection():
+def test_a_reload_replaces_a_watch_whose_address_accepts_no_connection():
     async def test():
-        with socket.socket() as full:  # listens, yet nobody accepts: further connections hang
+        with socket.socket() as full:  # its accept queue is full, so that further connects hang
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             hangs = "{}:{}".format(*full.getsockname())
@@ -191,7 +194,9 @@
                     )
                 )
                 watching = asyncio.create_task(returned.watch())
-                assert (await asyncio.wait_for(lists.get(), 1)).is_full, "fetched at once"
+                assert (await asyncio.wait_for(lists.get(), 1)).is_full, (
+                    "a full snapshot must be fetched at once"
+                )
                 watching.cancel()
             for each in waiting:
                 each.close()
@@ -199,7 +204,7 @@
     asyncio.run(test())
 
 
-def test_requests_that_use_all_their_sockets_leave_discovery_its_own():
+def test_discovery_has_its_own_sockets_when_endpoint_calls_use_all_of_theirs():
     async def test():
         async with StandInServer(fails_once(indented)) as agent:
             values = {
@@ -212,7 +217,7 @@
             service = RouterService(platform_configuration(values), lambda: platform_configuration(values))
             budget = service.pool.socket_budget
             form = (socket.AF_INET, socket.SOCK_STREAM, 0)
-            may_use_release_sockets.set(True)  # releases have taken theirs, too
+            may_use_release_sockets.set(True)  # sockets for release calls are used up as well
             taken = [budget.open(form) for _ in range(budget.max_sockets)]
             with pytest.raises(OSError):
                 budget.open(form)
@@ -226,13 +231,13 @@
     asyncio.run(test())
 
 
-def test_a_call_that_hangs_past_discoverys_return_is_hedged():
+def test_a_call_that_hangs_after_discovery_restarts_is_hedged():
     async def test():
         back = asyncio.Event()
 
         async def answer(call, writer):
             if not back.is_set():
-                await silent(writer)  # a call made before the return is never answered
+                await silent(writer)  # a call made before the restart is never answered
             elif "since=" in call[0]:
                 await asyncio.Event().wait()
             else:
@@ -246,17 +251,17 @@
                 loop = asyncio.get_running_loop()
                 begun = loop.time()
                 assert (await within(lists.get())).is_full
-                assert loop.time() - begun < 0.6, "waited for a call that is never answered"
+                assert loop.time() - begun < 0.6, "the watch waited for a call that is never answered"
 
     asyncio.run(test())
 
 
-def test_overloaded_discovery_gets_few_more_calls_and_its_answers_count():
+def test_overloaded_discovery_gets_few_hedged_calls_and_its_responses_are_used():
     async def test():
         async def answer(call, writer):
             if "since=" in call[0]:
                 await asyncio.Event().wait()
-            await asyncio.sleep(0.9)  # every list takes long
+            await asyncio.sleep(0.9)  # delays every full snapshot
             writer.write(response())
 
         async with running_watch(answer, known=False) as (watch, lists, agent):
@@ -270,7 +275,7 @@
     asyncio.run(test())
 
 
-def test_lists_and_changes_are_fed_and_a_version_that_goes_back_asks_for_a_snapshot():
+def test_lists_and_changes_are_fed_and_a_lower_version_causes_a_full_snapshot():
     lists = []
     watch = Discovery(None, "", read_list, lists.append)
     one, two = (
@@ -281,9 +286,9 @@
     watch.accept_list({"index": 7, "snapshot": False, "endpoints": [two]})
     watch.accept_list({"index": 7, "snapshot": False, "endpoints": []})
     assert [(each.is_full, len(each.endpoints)) for each in lists] == [(True, 1), (False, 1)]
-    assert lists[1].endpoints[0].status is EndpointStatus.DRAINING, "an unknown status gets nothing new"
+    assert lists[1].endpoints[0].status is EndpointStatus.DRAINING, "an unknown status must count as draining"
     watch.accept_list({"index": 3, "snapshot": False, "endpoints": [one]})
-    assert watch.index is None and len(lists) == 2, "changes of another list are not applied"
+    assert watch.index is None and len(lists) == 2, "changes to an unknown list must not be applied"
 
 
 @pytest.mark.parametrize("malformed_list", [{}, [], {"index": 1, "endpoints": [{"name": "x"}]}, None])
--- a/tests/transport/test_time_remaining.py
+++ b/tests/transport/test_time_remaining.py
@@ -1,4 +1,4 @@
-"""An endpoint gets the client's time remaining as its request is written; a draining one gets no request."""
+"""Tests that the time remaining and the permission to send are determined when a request is written."""
 
 import asyncio
 import json
@@ -24,15 +24,15 @@
 )
 
 
-def patient_settings(**allowed):
-    """Return settings that let a connection take three seconds to come up, and an endpoint be silent."""
+def settings_with_long_timeouts(**allowed):
+    """Return settings with a connect timeout of 3 s, a latency objective of 8 s, and a hard limit of 20 s."""
     classes = [{**each, "target": 8_000_000_000, "hard_limit": 20_000_000_000} for each in SETTINGS["lanes"]]
     allowed = {**SETTINGS["allowed"], "connect_timeout": 3_000_000_000, **allowed}
     return {**SETTINGS, "lanes": classes, "allowed": allowed}
 
 
 def endpoint_that_records(received, answer):
-    """Return a connection handler that answers each call and appends it to `received`."""
+    """Return a connection handler that appends each call to `received` and answers it with `answer`."""
 
     async def serve(reader, writer):
         with suppress(ConnectionError):
@@ -47,7 +47,7 @@
     return request_line.startswith("POST /v1/chat")
 
 
-def test_a_connection_that_comes_up_late_leaves_less_time_remaining(tmp_path):
+def test_a_slow_connect_reduces_the_time_remaining_that_is_sent(tmp_path):
     received = []
     serve = endpoint_that_records(received, prefill)
 
@@ -58,9 +58,9 @@
                 registry_entry("r1", gate.address, "prefill"),
                 registry_entry("w1", decode_endpoint.address, "decode"),
             ]
-            async with running_router(tmp_path, entries, settings=patient_settings()) as program:
+            async with running_router(tmp_path, entries, settings=settings_with_long_timeouts()) as program:
                 exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
-                await asyncio.sleep(0.3)  # its first attempt to connect was dropped
+                await asyncio.sleep(0.3)  # the listener's full accept queue has dropped the first TCP SYN
                 server = await gate.open(serve)
                 assert (await within(exchange))[0].split()[1] in ("200", "503")
                 remaining = next(
@@ -72,7 +72,7 @@
     asyncio.run(test())
 
 
-def test_a_drain_that_begins_while_a_connection_comes_up_withdraws_the_attempt(tmp_path):
+def test_an_attempt_is_withdrawn_if_its_endpoint_drains_during_the_connect(tmp_path):
     received = []
     serve = endpoint_that_records(received, prefill)
 
@@ -83,7 +83,7 @@
                 registry_entry("r1", gate.address, "prefill"),
                 registry_entry("w1", decode_endpoint.address, "decode"),
             ]
-            async with running_router(tmp_path, entries, settings=patient_settings()) as program:
+            async with running_router(tmp_path, entries, settings=settings_with_long_timeouts()) as program:
                 exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
                 await asyncio.sleep(0.3)
                 drained = [
@@ -110,12 +110,12 @@
 
     async def close_after_request(call, writer):
         if call[0].startswith("POST /v1/chat"):
-            writer.close()  # the request came in whole: it may have run
+            writer.close()  # the whole request was received, so it may have run
         else:
             await decode(call, writer)
 
     window = {"idempotency": "token", "group": "all", "window": 700_000_000}
-    settings = patient_settings()
+    settings = settings_with_long_timeouts()
     settings["lanes"] = [{**settings["lanes"][0], **window}]
     settings["family_info"] = {**settings["family_info"], "ahead": False, "release_within": 9_000_000_000}
 
@@ -135,7 +135,7 @@
                 exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
                 await decode_endpoint.wait_for("POST /v1/chat")
                 await asyncio.sleep(0.1)
-                server = await gate.open(serve)  # it comes up when TCP tries again, after a second
+                server = await gate.open(serve)  # the connect completes when TCP repeats its SYN after 1 s
                 assert (await within(exchange))[0].split()[1] in ("502", "503")
                 assert not [line for line, _, _ in received if is_attempt(line)]
                 server.close()
@@ -143,8 +143,8 @@
     asyncio.run(test())
 
 
-def test_pipelined_requests_count_from_when_they_came(tmp_path):
-    """The second of two pipelined requests waits for the first one's answer, and its time runs meanwhile."""
+def test_the_time_remaining_of_a_pipelined_request_runs_from_its_receipt(tmp_path):
+    """Guard against restarting the time of a second pipelined request, which waits for the first response."""
     go_on, remaining = asyncio.Event(), {}
 
     async def decode_first_late(call, writer):
@@ -178,7 +178,7 @@
     asyncio.run(test())
 
 
-def test_a_body_that_comes_late_counts_from_its_last_byte(tmp_path):
+def test_the_time_remaining_runs_from_the_last_byte_of_a_slow_body(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             reader, writer = await program.connect()
