--- a/llm_router/transport/acknowledgement.py
+++ b/llm_router/transport/acknowledgement.py
@@ -21,10 +21,11 @@
 
 
 def unacknowledged_bytes(transport: asyncio.Transport) -> int:
-    """Return the number of written bytes that the peer's host has not acknowledged, or 0 if it is unknown.
+    """Return the number of written bytes that the peer's host has not acknowledged.
 
     The number includes the bytes buffered in this process and the kernel's send queue. The queue size comes
-    from the ioctl SIOCOUTQ (see tcp(7)), which has the same number as TIOCOUTQ."""
+    from the ioctl SIOCOUTQ (see tcp(7)), which has the same number as TIOCOUTQ. If the ioctl fails, only the
+    bytes in this process count. The result is 0 for a closed connection."""
     connection = transport.get_extra_info("socket")
     if connection is None or transport.is_closing():
         return 0
@@ -69,6 +70,6 @@
             self._on_unacknowledged()
 
     def stop(self) -> None:
-        """Stop the timer, because a response has come or the call was cancelled."""
+        """Stop the timer, for example because a response has come or the call was cancelled."""
         if self._timer is not None:
             self._timer.cancel()
--- a/llm_router/transport/discovery.py
+++ b/llm_router/transport/discovery.py
@@ -66,7 +66,7 @@
         return reconfigured
 
     def accept_list(self, response: object) -> None:
-        """Feed the event for a response, which is a full snapshot or a list of changes.
+        """Pass a response to the lifecycle as an event; it is a full snapshot or a list of changes.
 
         Raise ValueError if the response is malformed."""
         if not isinstance(response, dict) or not isinstance(response.get("index"), int):
--- a/llm_router/transport/load_prober.py
+++ b/llm_router/transport/load_prober.py
@@ -15,7 +15,7 @@
 
 
 class LoadProber:
-    """Makes load probes, and feeds an event with each load report or failure."""
+    """Makes load probes, and passes each load report or failure to the lifecycle as an event."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._feed = feed
 
     async def probe(self, effect: effects.FetchLoadReport) -> None:
-        """Fetch an endpoint's load report and feed the result as an event."""
+        """Fetch an endpoint's load report and pass the result to the lifecycle as an event."""
         start = asyncio.get_running_loop().time()
         response = await self._pool.fetch(effect.endpoint.address, self._path, PROBE_TIMEOUT)
         status = AttemptStatus.TIMEOUT
--- a/llm_router/transport/release_client.py
+++ b/llm_router/transport/release_client.py
@@ -14,13 +14,13 @@
 
 # Time limit of one release call. It is cancelled earlier if another call for the request is acknowledged.
 RELEASE_TIMEOUT = timedelta(seconds=2)
-# Maximum time that a repeated prefill waits until the release before it is acknowledged.
+# Maximum time for which a repeated prefill attempt waits until a release of its request is acknowledged.
 RELEASE_WAIT = timedelta(milliseconds=100)
 RELEASE_ACKNOWLEDGED = 204  # HTTP status with which an endpoint acknowledges a release
 
 
 class ReleaseClient:
-    """Makes release calls, and feeds an event when one ends."""
+    """Makes release calls, and reports the end of each to the lifecycle as an event."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         task.add_done_callback(lambda task: self._on_done(effect, task))
 
     def _on_done(self, effect: effects.Release, task: asyncio.Task[bool]) -> None:
-        """Feed an event that says how a release call ended, unless the call was cancelled."""
+        """Report to the lifecycle how a release call ended, unless the call was cancelled."""
         running = self.running.get(effect.request_id, set())
         running.discard(task)
         if not running:
--- a/llm_router/transport/reservation_client.py
+++ b/llm_router/transport/reservation_client.py
@@ -26,7 +26,7 @@
 
 
 class ReservationClient:
-    """Makes reservation calls, and feeds an event when one ends."""
+    """Makes reservation calls, and reports the end of each to the lifecycle as an event."""
 
     def __init__(
         self,
@@ -43,9 +43,9 @@
         self._check = check
 
     async def run(self, effect: effects.Reserve, prefill: RunningAttempt | None) -> None:
-        """Make a reservation once the prefill attempt is being written.
+        """Make a reservation call once the prefill attempt is being written.
 
-        Before that no endpoint knows the request for which the capacity is reserved."""
+        Before that no endpoint knows the request, and a reservation for it would be unknown."""
         outcome = ReservationOutcome.NOT_MADE
         try:
             path = self._path(effect.request_id)
--- a/llm_router/transport/running_attempts.py
+++ b/llm_router/transport/running_attempts.py
@@ -29,7 +29,7 @@
 
 
 class RunningAttempts:
-    """The running attempts. It starts and aborts attempts, and feeds an event when one ends."""
+    """Starts and aborts attempts, and reports the end of each to the lifecycle as an event."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         return self._running.get((request_id, attempt))
 
     def _on_done(self, effect: effects.OpenAttempt, task: AttemptTask) -> None:
-        """Feed an event that says how an attempt ended, after its connection was returned or closed.
+        """Report to the lifecycle how an attempt ended, after its connection was returned or closed.
 
         A done callback does this because a task that is cancelled before its first step never runs its own
         code. Without the event the lifecycle would wait forever, and the KV lease would never be released."""
--- a/llm_router/transport/runtime.py
+++ b/llm_router/transport/runtime.py
@@ -88,10 +88,10 @@
         }
 
     def feed(self, event: events.Event) -> None:
-        """Reduce an event and dispatch its effects.
+        """Apply the reducer to an event and dispatch the resulting effects.
 
-        Events that are fed during the dispatch are queued and handled in order. An exception is an internal
-        error of the router; it does not stop the queue. The first exception is raised once the queue is
+        Events that arrive during the dispatch are queued and handled in order. An exception is an internal
+        error of the router and does not stop the queue. The first exception is raised once the queue is
         empty."""
         self._queue.append(event)
         if self._is_dispatching:
@@ -118,7 +118,7 @@
                 await self._wait_until_idle()
         if not self.state.is_idle:
             log.emit("leases_left", requests=len(self.state.requests))
-            # Without its request, a timer that fires later starts no call on the closing pool.
+            # The requests are removed so that a timer that fires later starts no call on the closing pool.
             self.state.requests.clear()
 
     async def _wait_until_idle(self) -> None:
