--- a/tests/emulator/test_kv_lease_fault_injection.py
+++ b/tests/emulator/test_kv_lease_fault_injection.py
@@ -78,7 +78,7 @@
 async def send_request(router, request_id, rng):
     """Send a request, and disconnect before its answer has come or not."""
     reader, writer = await router.connect()
-    writer.write(chat_request(request_id, left=rng.choice([200, 800, 3000]), facts=FACTS))
+    writer.write(chat_request(request_id, time_remaining_ms=rng.choice([200, 800, 3000]), facts=FACTS))
     disconnect_after = rng.choice([0.01, 0.05, 0.2, 5])
     try:
         async with asyncio.timeout(disconnect_after):
--- a/tests/emulator/test_release_during_retry.py
+++ b/tests/emulator/test_release_during_retry.py
@@ -29,7 +29,7 @@
         async with gated_deployment(tmp_path, customer(release_timeout), KINDS) as deployment:
             for name in ("m1", "m2"):
                 deployment[name].finish.clear()  # they accept attempts and never begin a stream
-            request = chat_request("r1", left=TIME_REMAINING, facts=FACTS)
+            request = chat_request("r1", time_remaining_ms=TIME_REMAINING, facts=FACTS)
             status_line, _, _ = await deployment.router.exchange(request)
             assert status_line.split()[1] == "503"
             assert all(deployment[name].called("POST /v1/chat") for name in ("m1", "m2"))
--- a/tests/emulator/test_release_without_answers.py
+++ b/tests/emulator/test_release_without_answers.py
@@ -33,7 +33,7 @@
             for endpoint in deployment.endpoints.values():
                 endpoint.answers_releases = False
             _, writer = await deployment.router.connect()
-            writer.write(chat_request("r1", cls="booking", left=DECODES_FOREVER, facts=FACTS))
+            writer.write(chat_request("r1", cls="booking", time_remaining_ms=DECODES_FOREVER, facts=FACTS))
             await deployment.record.wait_until(lambda: deployment.record.of("r1").decodes)
             await asyncio.sleep(LONGER_THAN_ANY_BUDGET)
             for endpoint in deployment.endpoints.values():
--- a/tests/frontends/test_platform_failures.py
+++ b/tests/frontends/test_platform_failures.py
@@ -85,7 +85,7 @@
 def test_a_request_past_its_deadline_is_rejected_and_released(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path, prefill=never_prefill) as program:
-            first, headers, _ = await program.exchange(chat_request(left=300))
+            first, headers, _ = await program.exchange(chat_request(time_remaining_ms=300))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
             await program.prefill_server.wait_for("DELETE /v1/holds/r1")
 
@@ -101,7 +101,7 @@
         async with running_router(tmp_path, unusable) as program:
             clock = asyncio.get_running_loop().time
             before = clock()
-            first, headers, _ = await program.exchange(chat_request(left=9000))
+            first, headers, _ = await program.exchange(chat_request(time_remaining_ms=9000))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
             assert clock() - before < 3, "long before its deadline"
 
@@ -111,7 +111,7 @@
 def test_a_release_goes_to_another_endpoint_if_the_first_does_not_answer(tmp_path):
     async def test():
         async with router_with_endpoints(tmp_path, prefill=hang) as program:
-            assert (await program.exchange(chat_request(left=300)))[0].split()[1] == "503"
+            assert (await program.exchange(chat_request(time_remaining_ms=300)))[0].split()[1] == "503"
             assert await program.decode_server.wait_for("DELETE /v1/holds/r1")
 
     run(test())
--- a/tests/frontends/test_platform_limits.py
+++ b/tests/frontends/test_platform_limits.py
@@ -40,7 +40,7 @@
         limits = {"memory_mb": 96, "sockets": 1024}
         async with router_with_endpoints(tmp_path, prefill=hang, limits=limits) as program:
             body = b'{"a":"' + b"x" * 262000 + b'"}'
-            requests = [chat_request(id=f"r{n}", left=3000, body=body) for n in range(120)]
+            requests = [chat_request(id=f"r{n}", time_remaining_ms=3000, body=body) for n in range(120)]
             answers = await asyncio.gather(*map(program.exchange, requests))
             assert {first.split()[1] for first, _, _ in answers} == {"503"}
             assert sum(body == b"too much at once\n" for _, _, body in answers) >= 120 - 48
--- a/tests/frontends/test_platform_requests.py
+++ b/tests/frontends/test_platform_requests.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (chat_request(left="soon"), 400),
+        (chat_request(time_remaining_ms="soon"), 400),
         (chat_request(cls="other"), 400),
         (chat_request(id="a b"), 400),
         (chat_request(facts="max_out=2"), 400),
--- a/tests/frontends/test_platform_shutdown.py
+++ b/tests/frontends/test_platform_shutdown.py
@@ -50,7 +50,7 @@
     async def test():
         async with router_with_endpoints(tmp_path, decode=hang) as program:
             reader, writer = await program.connect()
-            writer.write(chat_request(left=900))
+            writer.write(chat_request(time_remaining_ms=900))
             await program.decode_server.wait_for("POST /v1/chat")
             program.process.terminate()
             await program.wait_for_log("stopping")
--- a/tests/support/platform_requests.py
+++ b/tests/support/platform_requests.py
@@ -35,19 +35,19 @@
 def chat_request(
     id="r1",  # noqa: A002  # the name that tests use
     cls="lookup",
-    left=4000,
+    time_remaining_ms=4000,
     body=b'{"stream":true}',
     facts=FACTS,
     query="",
 ):
-    """Return an encoded request of a class, with `left` milliseconds remaining."""
+    """Return an encoded request of a class, with `time_remaining_ms` milliseconds remaining."""
     return message(
         f"POST /v1/chat/completions{query} HTTP/1.1",
         body,
         Host="h",
         X_Correlation_Id=id,
         X_Service_Class=cls,
-        X_Time_Left_Ms=left,
+        X_Time_Left_Ms=time_remaining_ms,
         X_Facts=facts,
         X_Session_Key="s",
     )
--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -337,6 +337,6 @@
     async def test():
         async with router_with_endpoints(tmp_path, prefill=never_prefill) as program:
             program.prefill_server.handler = writes(b"\x80\x81\r\n\r\n")
-            assert (await program.exchange(chat_request(left=2000)))[0].split()[1] == "503"
+            assert (await program.exchange(chat_request(time_remaining_ms=2000)))[0].split()[1] == "503"
 
     run(test())
--- a/tests/transport/test_system_call_faults.py
+++ b/tests/transport/test_system_call_faults.py
@@ -73,7 +73,7 @@
             late = []
             for number in range(REQUESTS):
                 begun = loop.time()
-                answer = await program.exchange(chat_request(f"r{number}", left=900))
+                answer = await program.exchange(chat_request(f"r{number}", time_remaining_ms=900))
                 if answer is None or answer[0].split()[1] != "200" or loop.time() - begun > 0.9:
                     late.append((number, loop.time() - begun))
                 await asyncio.sleep(draw.uniform(0, 0.01))
@@ -91,7 +91,7 @@
         async with router_with_endpoints(tmp_path, plan=plan) as program:
             marker.touch()
             reader, writer = await program.connect()
-            writer.write(chat_request(left=2000))
+            writer.write(chat_request(time_remaining_ms=2000))
             await asyncio.sleep(0.6)
             marker.unlink()
             assert (await within(read_message(reader)))[0].split()[1] == "200"
--- a/tests/transport/test_time_remaining.py
+++ b/tests/transport/test_time_remaining.py
@@ -59,7 +59,7 @@
                 registry_entry("w1", decode_endpoint.address, "decode"),
             ]
             async with running_router(tmp_path, entries, settings=patient_settings()) as program:
-                exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
+                exchange = asyncio.ensure_future(program.exchange(chat_request(time_remaining_ms=4000)))
                 await asyncio.sleep(0.3)  # its first attempt to connect was dropped
                 server = await gate.open(serve)
                 assert (await within(exchange))[0].split()[1] in ("200", "503")
@@ -84,7 +84,7 @@
                 registry_entry("w1", decode_endpoint.address, "decode"),
             ]
             async with running_router(tmp_path, entries, settings=patient_settings()) as program:
-                exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
+                exchange = asyncio.ensure_future(program.exchange(chat_request(time_remaining_ms=4000)))
                 await asyncio.sleep(0.3)
                 drained = [
                     {**entries[0], "status": "Terminating"},
@@ -132,7 +132,7 @@
                 far,
             ]
             async with running_router(tmp_path, entries, settings=settings) as program:
-                exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
+                exchange = asyncio.ensure_future(program.exchange(chat_request(time_remaining_ms=4000)))
                 await decode_endpoint.wait_for("POST /v1/chat")
                 await asyncio.sleep(0.1)
                 server = await gate.open(serve)  # it comes up when TCP tries again, after a second
@@ -165,7 +165,9 @@
             tmp_path, prefill=record_and_prefill, decode=decode_first_late
         ) as program:
             reader, writer = await program.connect()
-            writer.write(chat_request(id="r1", left=4000) + chat_request(id="r2", left=4000))
+            writer.write(
+                chat_request(id="r1", time_remaining_ms=4000) + chat_request(id="r2", time_remaining_ms=4000)
+            )
             await program.decode_server.wait_for("POST /v1/chat")
             delay = 0.4
             await asyncio.sleep(delay)
@@ -182,7 +184,7 @@
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             reader, writer = await program.connect()
-            data = chat_request(left=4000)
+            data = chat_request(time_remaining_ms=4000)
             writer.write(data[:-3])
             await asyncio.sleep(0.5)
             writer.write(data[-3:])
