--- a/tests/frontends/test_frontend_parity.py
+++ b/tests/frontends/test_frontend_parity.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from kserve_sidecar import ANSWER, infer, sidecar
+from kserve_sidecar import ANSWER, infer_request, sidecar
 from stand_ins import (
     DONE,
     EVENT,
@@ -76,7 +76,7 @@
                     request = (
                         chat_request("x", cls, 400)
                         if frontend == "platform"
-                        else infer("x", cls, time_left_ms=400)
+                        else infer_request("x", cls, time_left_ms=400)
                     )
                     first, headers, _ = await program.exchange(request)
                     assert int(first.split()[1]) == code
--- a/tests/frontends/test_kserve.py
+++ b/tests/frontends/test_kserve.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from kserve_sidecar import ANSWER, assignment, infer, sidecar, status
+from kserve_sidecar import ANSWER, infer_request, load_assignment, sidecar, status
 from stand_ins import StandInServer, message, run, within
 
 
@@ -50,7 +50,7 @@
 def test_an_inference_is_forwarded_unchanged_in_both_directions(tmp_path):
     async def test():
         async with StandInServer(serve) as server, sidecar(tmp_path, server) as program:
-            data = infer(time_left_ms=3000, prompt_len=900)
+            data = infer_request(time_left_ms=3000, prompt_len=900)
             first, headers, body = await program.exchange(data)
             assert first.split()[1] == "200" and body == ANSWER
             ((line, _, sent),) = server.calls
@@ -68,8 +68,8 @@
                 assert await status(program, get(path)) == 200
             assert await status(program, get("/v2/models/other/ready")) == 404
             assert await status(program, get("/elsewhere")) == 404
-            assert await status(program, infer(model="other")) == 404
-            program.endpoints.write_text(assignment((server.address, "DRAINING")))
+            assert await status(program, infer_request(model="other")) == 404
+            program.endpoints_file.write_text(load_assignment((server.address, "DRAINING")))
             await program.wait_for_log("endpoint_list_updated")
             first, _, _ = await program.exchange(get("/v2/models/desk/ready"))
             assert first.split()[1] == "503"
@@ -81,10 +81,10 @@
     "data",
     [
         message("POST /v2/models/desk/infer HTTP/1.1", b"{", Host="h"),
-        infer(cls="other"),
-        infer(request_id=None),
-        infer(time_left_ms="soon"),
-        infer(prompt_len=-1),
+        infer_request(cls="other"),
+        infer_request(request_id=None),
+        infer_request(time_left_ms="soon"),
+        infer_request(prompt_len=-1),
     ],
 )
 def test_a_malformed_request_reaches_no_endpoint(tmp_path, data):
@@ -100,14 +100,16 @@
 def test_a_server_that_closes_mid_response(tmp_path, handler):
     async def test():
         async with StandInServer(handler) as bad, sidecar(tmp_path, bad) as program:
-            assert await status(program, infer(request_id="b1")) == 502
-            assert await status(program, infer(request_id="b1")) == 409, "it may have run"
+            assert await status(program, infer_request(request_id="b1")) == 502
+            assert await status(program, infer_request(request_id="b1")) == 409, "it may have run"
             assert len(bad.calls) == 1
             async with StandInServer(serve) as good:
-                program.endpoints.write_text(assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY")))
+                program.endpoints_file.write_text(
+                    load_assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY"))
+                )
                 await program.wait_for_log("endpoint_list_updated")
                 for number in range(8):
-                    assert await status(program, infer(request_id=f"l{number}", cls="lookup")) == 200
+                    assert await status(program, infer_request(request_id=f"l{number}", cls="lookup")) == 200
 
     run(test())
 
@@ -121,15 +123,15 @@
 
     async def test():
         async with StandInServer(wait) as server, sidecar(tmp_path, server) as program:
-            first = asyncio.ensure_future(status(program, infer(request_id="b1")))
+            first = asyncio.ensure_future(status(program, infer_request(request_id="b1")))
             await server.wait_for("POST")
-            assert await status(program, infer(request_id="b1")) == 409, "it is running"
+            assert await status(program, infer_request(request_id="b1")) == 409, "it is running"
             resume.set()
             assert await first == 200
-            assert await status(program, infer(request_id="b1", repeat=True)) == 409, "it has run"
-            assert await status(program, infer(request_id="b2")) == 200
-            assert await status(program, infer(request_id="s", cls="lookup")) == 200
-            assert await status(program, infer(request_id="s", cls="lookup")) == 200, (
+            assert await status(program, infer_request(request_id="b1", repeat=True)) == 409, "it has run"
+            assert await status(program, infer_request(request_id="b2")) == 200
+            assert await status(program, infer_request(request_id="s", cls="lookup")) == 200
+            assert await status(program, infer_request(request_id="s", cls="lookup")) == 200, (
                 "an idempotent one may run twice"
             )
             assert len(server.calls) == 4
@@ -141,10 +143,10 @@
     async def test():
         handler = SwitchableHandler(reject)
         async with StandInServer(handler) as server, sidecar(tmp_path, server) as program:
-            assert await status(program, infer(request_id="b1", time_left_ms=300)) == 503
+            assert await status(program, infer_request(request_id="b1", time_left_ms=300)) == 503
             handler.current = serve
-            assert await status(program, infer(request_id="b1")) in (200, 503)
-            while await status(program, infer(request_id="b1")) == 503:
+            assert await status(program, infer_request(request_id="b1")) in (200, 503)
+            while await status(program, infer_request(request_id="b1")) == 503:
                 pass
             assert len(server.calls) >= 2
 
@@ -155,9 +157,9 @@
 def test_the_deadline_ends_the_attempt(tmp_path, cls, code, retry_code):
     async def test():
         async with StandInServer(hang) as server, sidecar(tmp_path, server) as program:
-            assert await status(program, infer(cls=cls, time_left_ms=200)) == code
+            assert await status(program, infer_request(cls=cls, time_left_ms=200)) == code
             assert (await within(server.closed.get()))[0].startswith("POST")
-            assert await status(program, infer(cls=cls, time_left_ms=200)) == retry_code
+            assert await status(program, infer_request(cls=cls, time_left_ms=200)) == retry_code
 
     run(test())
 
@@ -166,11 +168,11 @@
     async def test():
         async with StandInServer(hang) as server, sidecar(tmp_path, server) as program:
             _, writer = await program.connect()
-            writer.write(infer())
+            writer.write(infer_request())
             await server.wait_for("POST")
             writer.close()
             assert await within(server.closed.get())
-            assert await status(program, infer()) == 409
+            assert await status(program, infer_request()) == 409
 
     run(test())
 
@@ -182,15 +184,17 @@
             StandInServer(serve) as new,
             sidecar(tmp_path, old) as program,
         ):
-            program.endpoints.write_text('{"resources": [')
+            program.endpoints_file.write_text('{"resources": [')
             assert "endpoints.json" in (await program.wait_for_log("xds_files_invalid"))["file"]
-            assert await status(program, infer(request_id="b1")) == 200, "the last good list stays"
-            program.endpoints.write_text(assignment((old.address, "DRAINING"), (new.address, "HEALTHY")))
+            assert await status(program, infer_request(request_id="b1")) == 200, "the last good list stays"
+            program.endpoints_file.write_text(
+                load_assignment((old.address, "DRAINING"), (new.address, "HEALTHY"))
+            )
             before = asyncio.get_running_loop().time()
             await program.wait_for_log("endpoint_list_updated")
             assert asyncio.get_running_loop().time() - before < 1
             for number in range(5):
-                assert await status(program, infer(request_id=f"c{number}")) == 200
+                assert await status(program, infer_request(request_id=f"c{number}")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 5
 
     run(test())
@@ -208,12 +212,14 @@
             other.write_text("{")
             program.reload(text.replace("endpoints.json", "other.json"))
             assert "other.json" in (await program.wait_for_log("configuration_reload_failed"))["error"]
-            assert await status(program, infer(request_id="b1")) == 200
-            other.write_text(assignment((new.address, "HEALTHY")))
+            assert await status(program, infer_request(request_id="b1")) == 200
+            other.write_text(load_assignment((new.address, "HEALTHY")))
             program.reload(text.replace("endpoints.json", "other.json"))
             assert "other.json" in (await program.wait_for_log("configuration_reloaded"))["watch"]
-            assert await status(program, infer(request_id="b1")) == 409, "the idempotency registry goes on"
-            assert await status(program, infer(request_id="b2")) == 200
+            assert await status(program, infer_request(request_id="b1")) == 409, (
+                "the idempotency registry goes on"
+            )
+            assert await status(program, infer_request(request_id="b2")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 1
 
     run(test())
--- a/tests/support/kserve_sidecar.py
+++ b/tests/support/kserve_sidecar.py
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def assignment(*servers):
+def load_assignment(*servers):
     """Return a load assignment of (address, health status) pairs."""
     lb_endpoints = []
     for index, (address, health) in enumerate(servers):
@@ -47,13 +47,13 @@
     (tmp_path / "xds").mkdir()
     (tmp_path / "xds/clusters.json").write_text((ROOT / "deploy/xds/clusters.json").read_text())
     file = tmp_path / "xds/endpoints.json"
-    file.write_text(assignment(*[(server.address, "HEALTHY") for server in servers]))
+    file.write_text(load_assignment(*[(server.address, "HEALTHY") for server in servers]))
     async with started_process(str(tmp_path / "kserve.toml"), address=address) as program:
-        program.endpoints, program.file = file, tmp_path / "kserve.toml"
+        program.endpoints_file, program.file = file, tmp_path / "kserve.toml"
         yield program
 
 
-def infer(request_id="b1", cls="booking", model="desk", **parameters):
+def infer_request(request_id="b1", cls="booking", model="desk", **parameters):
     inference = {
         "id": request_id,
         "parameters": {"service_class": cls, **parameters},
--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from kserve_sidecar import ANSWER, assignment, infer, sidecar, status
+from kserve_sidecar import ANSWER, infer_request, load_assignment, sidecar, status
 from stand_ins import (
     EVENT,
     STREAM,
@@ -109,7 +109,7 @@
     async def test():
         async with StandInServer(answer_v2) as server, sidecar(tmp_path, server) as program:
             await all_end(program, b"/v2/models/desk/infer", [server])
-            assert await status(program, infer()) == 200
+            assert await status(program, infer_request()) == 200
             assert not await program.stop_and_read_internal_errors()
 
     run(test())
@@ -317,13 +317,15 @@
             StandInServer(answer_v2) as good,
             sidecar(folder, bad) as program,
         ):
-            assert await status(program, infer(time_left_ms=2000)) == 502, name
-            assert await status(program, infer(time_left_ms=2000)) == 409, name
+            assert await status(program, infer_request(time_left_ms=2000)) == 502, name
+            assert await status(program, infer_request(time_left_ms=2000)) == 409, name
             assert len(bad.calls) == 1 and await bad.closed.get()
-            program.endpoints.write_text(assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY")))
+            program.endpoints_file.write_text(
+                load_assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY"))
+            )
             await program.wait_for_log("endpoint_list_updated")
             for number in range(4):
-                assert await status(program, infer(request_id=f"l{number}", cls="lookup")) == 200
+                assert await status(program, infer_request(request_id=f"l{number}", cls="lookup")) == 200
             assert not await program.stop_and_read_internal_errors()
 
     async def test():
