--- a/llm_router/configuration/schema.py
+++ b/llm_router/configuration/schema.py
@@ -96,7 +96,7 @@
     idempotency_retention: timedelta = timedelta(minutes=10)
     xds_files: XdsFiles | None = None
 
-    def changes_after_restart(self, new: RouterConfig) -> list[str]:
+    def changes_requiring_restart(self, new: RouterConfig) -> list[str]:
         """Return the fields of a reloaded configuration that differ and wait for the next start."""
         names = (each.name for each in fields(self))
         waiting = (name for name in names if name not in RELOADED_FIELDS | IGNORED_BY_RELOAD)
--- a/llm_router/service.py
+++ b/llm_router/service.py
@@ -133,7 +133,7 @@
         self._replace_watch(endpoint_watch)
         self.frontend.server.apply_limits(new.limits)
         self.pool.socket_budget.max_sockets = new.limits.upstream_sockets
-        waiting = self.config.changes_after_restart(new)
+        waiting = self.config.changes_requiring_restart(new)
         self.config = replace(self.config, **{name: getattr(new, name) for name in RELOADED_FIELDS})
         log.emit("configuration_reloaded", watch=str(endpoint_watch), at_next_start=waiting)
 
