--- a/llm_router/lifecycle/release_order.py
+++ b/llm_router/lifecycle/release_order.py
@@ -44,7 +44,7 @@
 def _candidates(state: RouterState, request: Request) -> Iterator[int]:
     """Yield the numbers of listed endpoints, first those that took part in the request, latest first."""
     start = crc32(request.request_id.encode())  # lest all routers call the same one
-    others = state.endpoint_table.listed.spread(MAX_ENDPOINTS, start)
+    others = state.endpoint_table.listed.sample(MAX_ENDPOINTS, start)
     cut = start % max(1, len(others))
     involved = [attempt.endpoint_id for attempt in reversed(request.attempts)]
     if request.reservation_endpoint_id is not None:
--- a/llm_router/routing/admission.py
+++ b/llm_router/routing/admission.py
@@ -90,7 +90,7 @@
             times.append(available_at)
         earliest = min(times, default=last_useful + AVAILABILITY_HORIZON)
         if earliest > last_useful and not self.candidates.is_small(*roles):
-            others = self.candidates.spread(roles)
+            others = self.candidates.sample(roles)
             return min([earliest, *(endpoint.available_at(tenant_class) for endpoint in others)])
         return earliest
 
--- a/llm_router/routing/candidate_subset.py
+++ b/llm_router/routing/candidate_subset.py
@@ -44,9 +44,9 @@
             subset = self.decode_subset()
             if subset:
                 return subset
-        return self.spread(roles)
+        return self.sample(roles)
 
-    def spread(self, roles: tuple[Role, ...]) -> list[EndpointState]:
+    def sample(self, roles: tuple[Role, ...]) -> list[EndpointState]:
         """Return an even spread over the ready endpoints of some roles, at random another one each time."""
         total = max(1, self.index.count(*roles))
         offset = self.context.random.getrandbits(ANY_OFFSET_BITS)
@@ -54,17 +54,17 @@
         for role in roles:
             endpoints = self.index.by_role[role]
             limit = max(1, MAX_CANDIDATES * len(endpoints) // total)
-            chosen += endpoints.spread(limit, offset)
+            chosen += endpoints.sample(limit, offset)
         return chosen
 
-    def spread_in_cell(self, cell: int, roles: tuple[Role, ...]) -> list[EndpointState]:
+    def sample_in_cell(self, cell: int, roles: tuple[Role, ...]) -> list[EndpointState]:
         """Return an even spread over the ready endpoints of a cell, those of some roles."""
         endpoints = self.index.by_cell.get(cell)
         if not endpoints:
             return []
         offset = self.context.random.getrandbits(ANY_OFFSET_BITS)
-        spread = endpoints.spread(MAX_CANDIDATES, offset)
-        return [endpoint for endpoint in spread if endpoint.role in roles]
+        sample = endpoints.sample(MAX_CANDIDATES, offset)
+        return [endpoint for endpoint in sample if endpoint.role in roles]
 
     def decode_subset(self) -> list[EndpointState]:
         """Return this instance's decode endpoints of a large fleet; none where few instances must use all.
@@ -90,7 +90,7 @@
         found = [endpoint for endpoint in self.candidates(roles) if self.accepts(endpoint, tenant_class)]
         if found or self.is_small(*roles):
             return found
-        return [endpoint for endpoint in self.spread(roles) if self.accepts(endpoint, tenant_class)]
+        return [endpoint for endpoint in self.sample(roles) if self.accepts(endpoint, tenant_class)]
 
     def accepts(self, endpoint: EndpointState, tenant_class: TenantClass) -> bool:
         """Return whether a ready endpoint may have new work of a tenant and class.
--- a/llm_router/routing/decode_selection.py
+++ b/llm_router/routing/decode_selection.py
@@ -51,7 +51,7 @@
         if self.candidates.is_small(*DECODE_ROLES):
             return found
         if request.prefill_target is not None:
-            nearby = self.candidates.spread_in_cell(request.prefill_target.entry.cell, DECODE_ROLES)
+            nearby = self.candidates.sample_in_cell(request.prefill_target.entry.cell, DECODE_ROLES)
             found += [endpoint for endpoint in nearby if self.candidates.accepts(endpoint, tenant_class)]
         reserved = request.reserved_endpoint
         if reserved is not None and reserved.entry.status is EndpointStatus.READY:
--- a/llm_router/routing/indexed_set.py
+++ b/llm_router/routing/indexed_set.py
@@ -39,7 +39,7 @@
             self.items[index] = last
             self._indexes[last] = index
 
-    def spread(self, limit: int, offset: int) -> list[Item]:
+    def sample(self, limit: int, offset: int) -> list[Item]:
         """Return at most `limit` items, evenly spaced; each `offset` selects other ones."""
         step = -(-len(self.items) // limit)
         return self.items[offset % step :: step] if step > 1 else list(self.items)
