--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from kserve_sidecar import ANSWER, assignment, infer, sidecar, status
+from kserve_sidecar import ANSWER, assignment, infer_request, sidecar, status
 from stand_ins import (
     EVENT,
     STREAM,
@@ -115,7 +115,7 @@
     async def test():
         async with StandInServer(answer_v2) as server, sidecar(tmp_path, server) as program:
             await check_malformed_requests(program, b"/v2/models/desk/infer", [server])
-            assert await status(program, infer()) == 200
+            assert await status(program, infer_request()) == 200
             assert not await program.stop_and_read_internal_errors()
 
     run(test())
--- a/tests/transport/test_time_remaining.py
+++ b/tests/transport/test_time_remaining.py
@@ -59,7 +59,7 @@
                 registry_entry("w1", decode_endpoint.address, "decode"),
             ]
             async with running_router(tmp_path, entries, settings=settings_with_long_timeouts()) as program:
-                exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
+                exchange = asyncio.ensure_future(program.exchange(chat_request(time_remaining_ms=4000)))
                 await asyncio.sleep(0.3)  # the listener's full accept queue has dropped the first TCP SYN
                 server = await gate.open(serve)
                 assert (await within(exchange))[0].split()[1] in ("200", "503")
@@ -84,7 +84,7 @@
                 registry_entry("w1", decode_endpoint.address, "decode"),
             ]
             async with running_router(tmp_path, entries, settings=settings_with_long_timeouts()) as program:
-                exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
+                exchange = asyncio.ensure_future(program.exchange(chat_request(time_remaining_ms=4000)))
                 await asyncio.sleep(0.3)
                 drained = [
                     {**entries[0], "status": "Terminating"},
@@ -132,7 +132,7 @@
                 far,
             ]
             async with running_router(tmp_path, entries, settings=settings) as program:
-                exchange = asyncio.ensure_future(program.exchange(chat_request(left=4000)))
+                exchange = asyncio.ensure_future(program.exchange(chat_request(time_remaining_ms=4000)))
                 await decode_endpoint.wait_for("POST /v1/chat")
                 await asyncio.sleep(0.1)
                 server = await gate.open(serve)  # the connect completes when TCP repeats its SYN after 1 s
@@ -165,7 +165,7 @@
             tmp_path, prefill=record_and_prefill, decode=decode_first_late
         ) as program:
             reader, writer = await program.connect()
-            writer.write(chat_request(id="r1", left=4000) + chat_request(id="r2", left=4000))
+            writer.write(chat_request(id="r1", left=4000) + chat_request(id="r2", time_remaining_ms=4000))
             await program.decode_server.wait_for("POST /v1/chat")
             delay = 0.4
             await asyncio.sleep(delay)
@@ -182,7 +182,7 @@
     async def test():
         async with router_with_endpoints(tmp_path) as program:
             reader, writer = await program.connect()
-            data = chat_request(left=4000)
+            data = chat_request(time_remaining_ms=4000)
             writer.write(data[:-3])
             await asyncio.sleep(0.5)
             writer.write(data[-3:])
