--- a/llm_router/transport/acceptor.py
+++ b/llm_router/transport/acceptor.py
@@ -13,23 +13,25 @@
 from llm_router.transport.event_loop import TimedEventLoop
 from llm_router.transport.listener import Listener
 
-INITIAL_BACKOFF = timedelta(milliseconds=1)  # after an accept that failed; doubled with each further failure
+# Pause after the first failed accept call. Each further failure doubles it, up to MAX_BACKOFF.
+INITIAL_BACKOFF = timedelta(milliseconds=1)
 MAX_BACKOFF = timedelta(milliseconds=20)
 
 
 class AcceptorState(Enum):
-    """Whether connections are accepted."""
+    """The states of an acceptor."""
 
-    ACCEPTING = auto()
-    BACKING_OFF = auto()  # accept failed; it is retried in a moment
-    CLOSED = auto()
+    ACCEPTING = auto()  # The event loop watches the listening socket for new connections.
+    BACKING_OFF = auto()  # The last accept call failed, and a timer will retry it.
+    CLOSED = auto()  # The listening socket is closed for good.
 
 
 class Acceptor:
-    """Owns a listening socket, from the first accept to its close.
+    """Accepts connections on a listening socket and closes the socket at the end.
 
-    asyncio's own server stops accepting for a second when a descriptor or memory is short: clients whose
-    connections the kernel has accepted would be late by then, and reset if the listener closes first."""
+    It replaces asyncio's own server, which pauses for a second when descriptors or memory run out.
+    Connections in the kernel's accept queue would miss their deadlines during that pause. They would be reset
+    if the listener closed first."""
 
     def __init__(self, listener: Listener, factory: Callable[[], asyncio.Protocol], batch_size: int) -> None:
         self._listener = listener
@@ -38,23 +40,23 @@
         self._loop = asyncio.get_running_loop()
         self._state = AcceptorState.BACKING_OFF
         self._backoff = INITIAL_BACKOFF
-        self._failures = 0  # calls of accept that failed, in all
-        self._starting: set[asyncio.Task[None]] = set()  # connections on their way to their protocols
+        self._failures = 0  # total number of failed accept calls
+        self._starting: set[asyncio.Task[None]] = set()  # connection setups in progress
         self._resume()
 
     def _resume(self) -> None:
-        """Accept from now on, at the start or after a backoff."""
+        """Start or resume accepting, unless the acceptor is closed."""
         if self._state is not AcceptorState.BACKING_OFF:
             return
         try:
             self._loop.add_reader(self._listener.fileno(), self._accept_batch)
-        except OSError as error:  # epoll_ctl: no memory, or no watch is left
+        except OSError as error:  # epoll_ctl failed: out of memory or epoll watches
             self._back_off(error)
             return
         self._state = AcceptorState.ACCEPTING
 
     def _accept_batch(self) -> None:
-        """Accept the connections that wait, a bounded number of them in one turn of the loop."""
+        """Accept queued connections, at most `batch_size` in one iteration of the event loop."""
         for _ in range(self._batch_size):
             try:
                 accepted, peer = self._listener.accept()
@@ -71,7 +73,7 @@
             self._start(accepted, peer)
 
     def _back_off(self, error: OSError) -> None:
-        """Retry in a moment: no error of accept is a reason to stop for good."""
+        """Schedule a retry after a failed accept call; every error is treated as temporary."""
         self._failures += 1
         log.emit_rate_limited("accept_failed", error=repr(error), failures=self._failures)
         self._state = AcceptorState.BACKING_OFF
@@ -79,11 +81,11 @@
         self._backoff = min(2 * self._backoff, MAX_BACKOFF)
 
     def _start(self, accepted: socket.socket, peer: object) -> None:
-        """Hand a connection to a protocol of its own."""
+        """Start to serve an accepted connection with a new protocol object."""
         if isinstance(self._loop, TimedEventLoop):
             try:
                 self._loop.serve_connection(accepted, peer, self._factory)
-            except OSError as error:  # the client has gone already
+            except OSError as error:  # The client has disconnected already.
                 self._discard(accepted, error)
             return
         task = self._loop.create_task(self._connect(accepted))
@@ -98,22 +100,22 @@
 
     @staticmethod
     def _discard(accepted: socket.socket, error: OSError) -> None:
-        """Log and close a connection that ended before it was served."""
+        """Log and close a connection whose setup failed."""
         log.emit_rate_limited("connection_setup_failed", error=repr(error))
         accepted.close()
 
     @property
     def drained(self) -> bool:
-        """Whether the last accept found the queue empty, and all accepted connections have started."""
+        """Whether the accept queue was empty at the last call and no connection setup is in progress."""
         return self._listener.drained and not self._starting
 
     @property
     def failing(self) -> bool:
-        """Whether the last accept failed."""
+        """Whether the last accept call failed and the retry is pending."""
         return self._state is AcceptorState.BACKING_OFF
 
     def close(self) -> None:
-        """Stop accepting for good; the kernel resets the connections that still wait."""
+        """Close the listening socket; the kernel resets the connections in its accept queue."""
         if self._state is AcceptorState.CLOSED:
             return
         if self._state is AcceptorState.ACCEPTING:
--- a/llm_router/transport/clock.py
+++ b/llm_router/transport/clock.py
@@ -1,4 +1,4 @@
-"""The router's clock, with the conversions between `timedelta` and the event loop's seconds."""
+"""Provides the router's clock, and conversions between `timedelta` and the event loop's seconds."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def to_seconds(duration: timedelta) -> float:
-    """Return a duration as the event loop counts it, in seconds."""
+    """Return a duration in seconds, the unit of the event loop's clock."""
     return duration.total_seconds()
 
 
 def to_duration(seconds: float) -> timedelta:
-    """Return a span of the event loop's seconds as a duration."""
+    """Return a number of seconds as a duration."""
     return timedelta(seconds=seconds)
 
 
@@ -25,23 +25,23 @@
 
 
 def elapsed_since(start: float) -> timedelta:
-    """Return the time since a moment of the running event loop."""
+    """Return the time that has passed since a time of the running event loop's clock."""
     return to_duration(asyncio.get_running_loop().time() - start)
 
 
 class Clock:
-    """A clock that starts at the wall clock's time and runs on monotonically.
+    """A monotonic clock that is set to the wall-clock time when the router starts.
 
-    Timers must not follow steps of the wall clock; yet the clock is compared with `since_ms` in the endpoint
-    list, which is wall-clock time."""
+    It is monotonic because clock steps must not affect timers. It starts at the wall-clock time because it is
+    compared with `since_ms` in the endpoint list, which is wall-clock time."""
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> timedelta:
-        """Return the time since the epoch, as if the wall clock was never set after the start."""
+        """Return the time since the Unix epoch, without any clock steps after the router's start."""
         return to_duration(self._offset + time.monotonic())
 
     def loop_time(self, moment: timedelta) -> float:
-        """Return a moment of this clock in the event loop's seconds, which count by the monotonic clock."""
+        """Convert a time of this clock to the event loop's monotonic seconds."""
         return to_seconds(moment) - self._offset
--- a/llm_router/transport/event_loop.py
+++ b/llm_router/transport/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that records since when its input may have been waiting in the kernel."""
+"""Provides an event loop that estimates how long its input has waited in the kernel."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import time
 from collections.abc import Callable
 
-# Seconds. A `select` that took longer has waited for its input, so that the input has come just now.
+# Seconds. A `select` call that took longer has blocked, so the input it reports has only just arrived.
 BLOCKED_THRESHOLD = 0.0005
 
 
 class TimedSelector(selectors.DefaultSelector):
-    """A selector that records since when the input that it reported last may have been there."""
+    """A selector that records the earliest time at which the last reported input can have arrived."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,7 +22,7 @@
         self._last_select = self.input_since
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return the ready files; their input came after the call before, or while this one waited."""
+        """Return the ready files; their input arrived after the previous call or while this call blocked."""
         start = time.monotonic()
         ready = super().select(timeout)
         now = time.monotonic()
@@ -33,7 +33,7 @@
 
 
 class TimedEventLoop(asyncio.SelectorEventLoop):
-    """An event loop that knows since when its input may have been waiting."""
+    """An event loop that knows the earliest time at which its current input can have arrived."""
 
     def __init__(self) -> None:
         self.selector = TimedSelector()
@@ -42,19 +42,21 @@
     def serve_connection(
         self, accepted: socket.socket, peer: object, factory: Callable[[], asyncio.Protocol]
     ) -> None:
-        """Serve an accepted connection by a protocol of its own, without a task for its start.
+        """Serve an accepted connection with a new protocol object, without creating a task.
 
-        This keeps a flood of connections cheap; asyncio's public call makes a task for each. It calls a
-        private method of the pinned Python release's event loop."""
+        asyncio's public function creates a task for each connection, which is costly when many arrive at
+        once. This method calls a private method of the event loop in the pinned Python release."""
         extra = {"peername": peer}
         self._make_socket_transport(accepted, factory(), extra=extra)  # type: ignore[attr-defined]  # private
 
 
 def input_since(loop: asyncio.AbstractEventLoop) -> float:
-    """Return the loop's time since which the input now handled may have waited; now, on another loop."""
+    """Return the earliest loop time at which the current input can have arrived.
+
+    Return the current time if the loop is not a `TimedEventLoop`."""
     return loop.selector.input_since if isinstance(loop, TimedEventLoop) else loop.time()
 
 
 def select_count(loop: asyncio.AbstractEventLoop) -> int:
-    """Return how often the loop has polled for input; always 0 on another loop."""
+    """Return how often the loop has polled for input; 0 if it is not a `TimedEventLoop`."""
     return loop.selector.select_count if isinstance(loop, TimedEventLoop) else 0
--- a/llm_router/transport/listener.py
+++ b/llm_router/transport/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that records since when each connection may have waited to be accepted."""
+"""Provides a listening socket that bounds how long each connection waited in the accept queue."""
 
 from __future__ import annotations
 
@@ -12,36 +12,39 @@
 from llm_router.transport.event_loop import input_since, select_count
 from llm_router.transport.resilient_socket import LOCAL_ERRORS, ResilientSocket
 
-START_TIMEOUT = timedelta(seconds=3)  # for a socket and its address, which a process before may still use
-START_RETRY_INTERVAL = timedelta(milliseconds=50)
+# Time limit for opening the listening socket. A previous process may still use the address.
+START_TIMEOUT = timedelta(seconds=3)
+START_RETRY_INTERVAL = timedelta(milliseconds=50)  # pause between two attempts to open the socket
 
 
 class Listener(socket.socket):
-    """A listening socket that records since when each connection may have waited to be accepted.
+    """A listening socket that estimates how long each connection waited in the kernel's accept queue.
 
-    In a flood of connections the loop accepts a few at a time, and the others wait in the kernel's queue
-    without a sign; the time they wait there counts against their requests' deadlines."""
+    Under many new connections the event loop accepts a few per iteration. The kernel does not report how long
+    the others wait, but this time counts against the deadlines of their requests."""
 
     def __init__(self, *arguments: int) -> None:
         super().__init__(*arguments)
-        self.waiting_since: dict[int, float] = {}  # by the accepted socket's descriptor
-        self.drained = True  # the last accept found the queue empty
-        self._queue_since = 0.0  # since when the queue may have been non-empty without interruption
-        self._accept_failed = False  # so that whoever waited then is still waiting
+        self.waiting_since: dict[int, float] = {}  # earliest time in the queue, by descriptor
+        self.drained = True  # Whether the last accept call found the queue empty.
+        # Earliest time since which the accept queue may have been non-empty throughout.
+        self._queue_since = 0.0
+        # Whether the last accept call failed. Connections queued at that time are still in the queue.
+        self._accept_failed = False
         self._last_select_count = 0
         self._accepted_at: deque[float] = deque(maxlen=1)
 
     def listen(self, backlog: int = socket.SOMAXCONN, /) -> None:
-        """Begin to listen; an accepted connection came when at most `backlog` others were before it."""
+        """Begin to listen with a queue for `backlog` connections, and record as many accept times."""
         super().listen(backlog)
         self._accepted_at = deque(self._accepted_at, maxlen=max(1, backlog))
 
     def accept(self) -> tuple[ResilientSocket, object]:
-        """Accept a connection; raise BlockingIOError where none is left, another OSError on failure."""
+        """Accept a connection; raise BlockingIOError if the queue is empty, another OSError on failure."""
         loop = asyncio.get_running_loop()
         count = select_count(loop)
-        # A `select` in between that found nobody waiting ends the queue, unless accept had failed: then we
-        # did not watch the socket.
+        # A `select` call since the last accept that did not report the socket shows that the queue was empty.
+        # After a failed accept call it shows nothing, because the loop did not watch the socket.
         if not self._accept_failed and (self.drained or count > self._last_select_count + 1):
             self._queue_since = input_since(loop)
         self._last_select_count = count
@@ -56,22 +59,23 @@
         self.drained = self._accept_failed = False
         self.waiting_since[accepted.fileno()] = max(self._queue_since, self._earliest_arrival())
         self._accepted_at.append(input_since(loop))
-        # With its family, type and protocol given, Python need not ask the kernel for them each time.
-        form = self.family, self.type, self.proto
-        return ResilientSocket(*form, fileno=accepted.detach()), address
+        # Passing family, type and protocol saves the system calls by which Python would look them up.
+        socket_parameters = self.family, self.type, self.proto
+        return ResilientSocket(*socket_parameters, fileno=accepted.detach()), address
 
     def _earliest_arrival(self) -> float:
-        """Return the earliest time at which the connection accepted now can have joined the queue.
+        """Return the earliest time at which the connection just accepted can have entered the accept queue.
 
-        A queue that was full all the time let it in when the connection `backlog` places before it left."""
+        If the queue was full throughout, this connection entered it when the one `backlog` places ahead was
+        accepted."""
         is_full = len(self._accepted_at) == self._accepted_at.maxlen
         return self._accepted_at[0] if is_full else self._queue_since
 
 
 async def open_listener(host: str, port: int, backlog: int) -> Listener:
-    """Return a socket that listens at an address, retrying what this machine may grant a moment later.
+    """Return a socket that listens at an address; retry local errors such as a lack of memory.
 
-    Raise OSError where the address cannot be used, or not within START_TIMEOUT."""
+    Raise OSError if the address cannot be used, or if local errors persist for START_TIMEOUT."""
     loop = asyncio.get_running_loop()
     end = loop.time() + to_seconds(START_TIMEOUT)
     while True:
@@ -85,7 +89,7 @@
 
 
 def _listen(host: str, port: int, backlog: int) -> Listener:
-    """Return a socket that listens at an address."""
+    """Return a non-blocking socket that listens at an address."""
     listener = Listener(socket.AF_INET6 if ":" in host else socket.AF_INET)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/llm_router/transport/resilient_socket.py
+++ b/llm_router/transport/resilient_socket.py
@@ -1,4 +1,4 @@
-"""Sockets whose system calls survive a passing shortage on this machine."""
+"""Provides sockets whose system calls tolerate temporary resource shortages on the local host."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     from typing_extensions import Buffer
 
 OUT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-# Errors of socket() and connect() that say nothing about the other end.
+# Errors of socket() and connect() that are caused by the local host and tell nothing about the peer.
 LOCAL_ERRORS = frozenset(
     (
         *OUT_OF_MEMORY,
         errno.EMFILE,
         errno.ENFILE,
-        errno.EADDRNOTAVAIL,  # no port is free
+        errno.EADDRNOTAVAIL,  # No local port is free.
         errno.EADDRINUSE,
         errno.EAGAIN,
         errno.EINTR,
         errno.EALREADY,
-        errno.EACCES,  # the machine's own firewall
+        errno.EACCES,  # The local firewall denies the connection.
         errno.EPERM,
         errno.ENETDOWN,
         errno.ENETUNREACH,
@@ -29,33 +29,35 @@
         errno.EPROTONOSUPPORT,
     )
 )
-MAX_CONNECT_CALLS = 8  # calls of connect that may be interrupted by a signal
+MAX_CONNECT_CALLS = 8  # attempts before an interrupted connect fails
 
 
 class LocalSocketError(OSError):
-    """A call failed because of this machine.
+    """A socket call failed for a reason on the local host.
 
-    A class of its own, as Python maps EAGAIN and EINTR to the errors that asyncio takes for a connect under
-    way."""
+    The class is distinct because Python maps EAGAIN and EINTR to exceptions that asyncio takes as "connect
+    in progress"."""
 
 
 class SocketLimitError(LocalSocketError):
-    """The router's own bound on sockets is reached: an immediate retry is of no use."""
+    """The router's own limit on sockets is reached, so an immediate retry would fail as well."""
 
 
 class ResilientSocket(socket.socket):
-    """A stream socket that treats passing errors as passing.
+    """A stream socket that tolerates temporary local errors.
 
-    A send or receive for which memory is short behaves as if it would block; asyncio then retries it. A
-    connect that was not begun raises LocalSocketError rather than an error that looks like one under way."""
+    If memory runs out, send and receive report that they would block, and asyncio retries them. If a connect
+    cannot begin, it raises LocalSocketError instead of an error that means "connect in progress"."""
 
     def connect(self, address: tuple[Any, ...] | str | Buffer) -> None:
-        """Begin to connect; raise BlockingIOError when it is under way, LocalSocketError when not begun."""
+        """Begin to connect.
+
+        Raise BlockingIOError if the connect is in progress, LocalSocketError if it could not begin."""
         for _ in range(MAX_CONNECT_CALLS):
             try:
                 return super().connect(address)
             except InterruptedError:
-                # Either it goes on by itself, which the next call reports as EALREADY, or it was not begun.
+                # If the connect is in progress, the next call raises EALREADY. Otherwise it begins now.
                 continue
             except BlockingIOError as error:
                 if error.errno == errno.EAGAIN:
@@ -65,17 +67,17 @@
                 if error.errno == errno.EISCONN:
                     return None
                 raise
-        raise LocalSocketError(errno.EINTR, "connect was interrupted again and again")
+        raise LocalSocketError(errno.EINTR, "connect() was interrupted by a signal at each attempt")
 
     def send(self, data: Buffer, flags: int = 0) -> int:
-        """Send as much as there is room for and return its size."""
+        """Send as many bytes as the send buffer takes, and return their number."""
         try:
             return super().send(data, flags)
         except OSError as error:
             raise self._as_would_block(error) from None
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Receive what has come, at most `size` bytes."""
+        """Return received bytes, at most `size`."""
         try:
             return super().recv(size, flags)
         except OSError as error:
@@ -83,7 +85,7 @@
 
     @staticmethod
     def _as_would_block(error: OSError) -> OSError:
-        """Return BlockingIOError in place of an error that passes, else the error itself."""
+        """Return BlockingIOError for an out-of-memory error, and any other error unchanged."""
         if error.errno in OUT_OF_MEMORY:
             return BlockingIOError(errno.EAGAIN, error.strerror)
         return error
--- a/llm_router/transport/signals.py
+++ b/llm_router/transport/signals.py
@@ -1,4 +1,4 @@
-"""Signal handling: SIGTERM or SIGINT stops the program, SIGHUP reloads the configuration."""
+"""Handles signals: SIGTERM and SIGINT stop the router, SIGHUP reloads its configuration."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def ignore_reload() -> None:
-    """Ignore SIGHUP before the program serves and once it has stopped: its default ends the process."""
+    """Ignore SIGHUP, whose default action ends the process, before and after the router serves."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def install(stop: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Call `stop` or `reload` on the running event loop when a signal comes."""
+    """Call `stop` or `reload` on the running event loop when a signal is received."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
-    # Not the loop's own handler, which restores the default, the process's end, when the loop closes.
+    # A loop's signal handler is removed when the loop closes. SIGHUP would then end the process.
     signal.signal(signal.SIGHUP, lambda _number, _frame: loop.call_soon_threadsafe(reload))
