--- a/llm_router/transport/client_connection.py
+++ b/llm_router/transport/client_connection.py
@@ -1,6 +1,6 @@
-"""A client's connection: aiohttp's server protocol, with bounds on malformed and slow requests.
+"""Extends aiohttp's server protocol for client connections, with limits on malformed and slow requests.
 
-It uses private parts of the pinned aiohttp release; `tests/transport/test_connections.py` checks them."""
+It uses private parts of the pinned aiohttp release, which `tests/transport/test_connections.py` checks."""
 
 from __future__ import annotations
 
@@ -21,19 +21,23 @@
 if TYPE_CHECKING:
     from llm_router.transport.http_server import HttpServer
 
-LINGER_TIMEOUT = timedelta(seconds=5)  # for a client to take an error and to end what it is sending
-# Polls for input after a connection's start, up to which its first bytes count as come along with it.
+# Time limit for a client to read the last response and to close its side of the connection.
+LINGER_TIMEOUT = timedelta(seconds=5)
+# Bytes received within this number of input polls after the connection was set up are assumed to have
+# arrived together with the connection.
 FIRST_INPUT_SELECTS = 2
 
 
 class ConnectionState(Enum):
-    """The life cycle of a client's connection, with its transitions in `TRANSITIONS`.
+    """The states of a client connection; `TRANSITIONS` lists the allowed transitions.
 
-    That it is closed is not a state here: aiohttp tells it by `transport`, which is None then."""
+    There is no state for a closed connection: aiohttp sets `transport` to None when it is closed."""
 
-    OPEN = auto()  # requests are read and answered
-    INPUT_REJECTED = auto()  # malformed input was read: its error is to be answered, further input is dropped
-    LINGERING = auto()  # our sending has ended: the client's end is awaited, and its input dropped
+    OPEN = auto()  # Requests are read and answered.
+    # Malformed input was received. An error response is pending, and further input is dropped.
+    INPUT_REJECTED = auto()
+    # The router has shut down its sending side. It waits for the client to close, and drops input.
+    LINGERING = auto()
 
 
 TRANSITIONS = {
@@ -44,10 +48,10 @@
 
 
 class ClientConnection(RequestHandler):
-    """A client's connection; malformed input is answered once, and nothing after it is taken.
+    """A client connection that answers malformed input once and drops all input after it.
 
-    A connection closed over unread input is reset, and the reset may discard the answer on its way. So we end
-    our sending, wait for the client's end, and drop what it sends meanwhile."""
+    Closing a socket that has unread input resets the connection, and the reset may discard the last response.
+    So the router shuts down its sending side, waits until the client closes, and drops input meanwhile."""
 
     __slots__ = (
         "_answered_requests",
@@ -68,49 +72,52 @@
     def __init__(self, manager: HttpServer, **settings: Any) -> None:  # noqa: ANN401  # aiohttp's
         super().__init__(manager, **settings)
         self._state = ConnectionState.OPEN
-        self.has_served = False  # a request was answered
-        self.idle_since = self._loop.time()  # the connection's start, or its last answer
-        self.last_input_since = self.idle_since  # since when the bytes that came last may have waited
-        self.partial_head_since: float | None = None  # when the first bytes of an incomplete head came
-        self._head_arrivals: dict[int, float] = {}  # since when each queued head waits, by its identity
+        self.has_served = False  # Whether a request has been answered.
+        self.idle_since = self._loop.time()  # time of the last response, or of the connection's start
+        # Earliest time at which the last received bytes can have arrived.
+        self.last_input_since = self.idle_since
+        # Time at which the first bytes of an incomplete request head were read.
+        self.partial_head_since: float | None = None
+        # Earliest arrival time of each queued request head, by the message's id().
+        self._head_arrivals: dict[int, float] = {}
         self._first_select_count = 0
         self._answered_requests = 0
-        self._buffers_input = False  # aiohttp wants no more input for now
+        self._buffers_input = False  # Whether aiohttp has paused reading.
         self._input_buffer = InputBuffer(manager.input_budget, 2 * manager.max_body_size)
         self._linger_timer: asyncio.TimerHandle | None = None
 
     def _enter(self, state: ConnectionState) -> None:
-        """Change the state; raise RuntimeError for a transition that is not in the table."""
+        """Change the state; raise RuntimeError if `TRANSITIONS` does not list the transition."""
         if state not in TRANSITIONS[self._state]:
             raise RuntimeError(f"client connection: no transition from {self._state} to {state}")
         self._state = state
 
     @property
     def accepts_input(self) -> bool:
-        """Whether what the client sends is read."""
+        """Whether input from the client is processed rather than dropped."""
         return self._state is ConnectionState.OPEN
 
     @property
     def all_answered(self) -> bool:
         """Whether all requests that were read are answered.
 
-        A request that aiohttp has taken from its queue and whose handler has yet to begin is not."""
+        This is False for a request that aiohttp has taken from its queue before its handler has begun."""
         return self._request_count == self._answered_requests
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing of a request has come that waits for its answer."""
+        """Whether no complete or partial request waits for a response."""
         return self.all_answered and self.partial_head_since is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve the client."""
+        """Set up the connection, and record how long it may have waited to be accepted."""
         super().connection_made(transport)
         self._first_select_count = select_count(self._loop)
         if self._manager is not None:
             self.last_input_since = self._manager.waiting_since(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes that the event loop has received."""
+        """Process bytes that the event loop has received."""
         if not self.accepts_input:
             return
         selects = select_count(self._loop) - self._first_select_count
@@ -118,7 +125,9 @@
         self._read(data, self.last_input_since if is_first else input_since(self._loop))
 
     def _read(self, data: bytes, since: float) -> None:
-        """Parse bytes that may have waited since a moment, or buffer them while aiohttp wants no more."""
+        """Parse bytes, or buffer them while aiohttp has paused reading.
+
+        `since` is the earliest loop time at which the bytes can have arrived."""
         if not self.accepts_input:
             return
         if self._buffers_input and data:
@@ -135,21 +144,21 @@
         elif data and self.is_idle:
             self.partial_head_since = self._loop.time()
         if self._messages and isinstance(self._messages[-1][0], _ErrInfo):
-            # Otherwise each further piece of input would count as one more malformed request.
+            # Without this state each further piece of input would count as another malformed request.
             self._enter(ConnectionState.INPUT_REJECTED)
 
-    def take_arrival(self, message: object) -> float:
-        """Return since when a request's head may have waited, and forget it."""
+    def pop_head_arrival(self, message: object) -> float:
+        """Remove and return the earliest arrival time of a request head."""
         return self._head_arrivals.pop(id(message), self.last_input_since)
 
     def _buffer(self, data: bytes, since: float) -> None:
-        """Buffer input that comes before aiohttp wants it; past the bounds reading stops after all."""
+        """Buffer input while aiohttp has paused reading; pause the transport if the buffer is full."""
         self._input_buffer.append(data, since)
         if self._input_buffer.is_full:
             super()._pause_transport_reading()
 
     def _pause_transport_reading(self) -> None:
-        # Reading goes on: otherwise the client's end would not be seen while its next request waits unread.
+        # The transport keeps reading into the buffer, because only reading detects a client disconnect.
         self._buffers_input = True
 
     def _resume_transport_reading(self) -> None:
@@ -159,14 +168,14 @@
             self._loop.call_soon(self._read_buffered)
 
     def _read_buffered(self) -> None:
-        """Parse what was buffered, until aiohttp wants no more."""
+        """Parse buffered input until the buffer is empty or aiohttp pauses reading."""
         while self._input_buffer and not self._buffers_input:
             piece = self._input_buffer.pop()
             self._read(piece.data, piece.since)
 
     def eof_received(self) -> None:
-        """Handle the end of the client's sending."""
-        # A close would wait for unsent bytes, while work goes on for a client that has gone.
+        """Abort the connection if the client closes its sending side with a request unanswered."""
+        # A plain close would wait for unsent bytes while the request of a disconnected client goes on.
         if not self.all_answered and self.transport is not None:
             self.transport.abort()
 
@@ -177,18 +186,18 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Return the frontend's error response, with a rate-limited log line."""
+        """Return the frontend's error response for a malformed request, and log it with a rate limit."""
         if request.writer.output_size > 0:
-            raise ConnectionError("an answer has begun")
-        assert self._manager is not None, "aiohttp handles no request of a lost connection"
+            raise ConnectionError("cannot send an error: the response has already started")
+        assert self._manager is not None, "aiohttp does not handle requests of a closed connection"
         text = message or repr(exc)
         log.emit_rate_limited("request_malformed", text=text.split("\n")[0][:200])
-        return self._manager.error_response(status, "the request cannot be read", close=True)
+        return self._manager.error_response(status, "the request is malformed", close=True)
 
     async def finish_response(
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
     ) -> tuple[web.StreamResponse, bool]:
-        """Write the end of a response; return it and whether the client has reset the connection."""
+        """Finish a response; return it and whether the client has reset the connection."""
         resp, reset = await super().finish_response(request, resp, start_time)
         self.idle_since = self._loop.time()
         self.has_served = True
@@ -201,14 +210,14 @@
         return resp, reset
 
     def force_close(self) -> None:
-        """Close the connection; log a violation where a request that was read is not answered."""
+        """Close the connection; log an invariant violation if a request is unanswered."""
         if not self.all_answered and self.transport is not None and not self.transport.is_closing():
             open_requests = self._request_count - self._answered_requests
             log.emit("invariant_violated", rule="closed_unanswered", open=open_requests)
         super().force_close()
 
     def linger(self) -> None:
-        """End our sending and wait for the client's end, for a bounded time."""
+        """Shut down the sending side; close the connection after LINGER_TIMEOUT if the client has not."""
         if self._state is ConnectionState.LINGERING or self.transport is None or self._manager is None:
             return
         self._enter(ConnectionState.LINGERING)
@@ -219,7 +228,7 @@
         self._linger_timer = self._loop.call_later(to_seconds(LINGER_TIMEOUT), self.force_close)
 
     def _process_keepalive(self) -> None:
-        """End a connection that is idle or silent for too long, unless a head is on its way."""
+        """Close a connection after its keep-alive timeout, which a partial request head extends."""
         self._keepalive_handle = None
         if self._force_close or not self.accepts_input or not self.all_answered:
             return
@@ -232,10 +241,10 @@
             self.linger()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Handle the end of the connection."""
+        """Free the resources of the connection after it was closed."""
         if self._linger_timer is not None:
             self._linger_timer.cancel()
-        if self._manager is not None:  # which aiohttp forgets when the connection is lost
+        if self._manager is not None:  # aiohttp sets it to None when the connection is lost.
             self._manager.lingering.pop(self, None)
         self._input_buffer.clear()
         super().connection_lost(exc)
--- a/llm_router/transport/http_server.py
+++ b/llm_router/transport/http_server.py
@@ -1,6 +1,6 @@
-"""Makes the protocols of client connections: aiohttp's low-level server with a limit on connections.
+"""Extends aiohttp's low-level server with a limit on client connections.
 
-It uses private parts of the pinned aiohttp release; `tests/transport/test_connections.py` checks them."""
+It uses private parts of the pinned aiohttp release, which `tests/transport/test_connections.py` checks."""
 
 from __future__ import annotations
 
@@ -24,14 +24,16 @@
 from llm_router.transport.listener import Listener
 from llm_router.transport.rejected_connection import RejectedConnection, RejectedConnections
 
-# A client connection without a complete head is closed after this: its client is owed a close within 3 s.
-SILENCE_TIMEOUT = timedelta(seconds=2.2)
-NEW_CONNECTION_AGE = timedelta(seconds=0.3)  # a connection so young may have a head on its way
+# Client connections are closed after this time without a complete request head. Clients expect a response or
+# a close within 3 s.
+KEEPALIVE_TIMEOUT = timedelta(seconds=2.2)
+# The first request head of a connection younger than this may still be in transit.
+NEW_CONNECTION_AGE = timedelta(seconds=0.3)
 
-# A request's own entry: since when it may have waited, None where its body is still to come.
+# Key of a request's earliest arrival time; its value is None if the body was not yet complete.
 WAITING_SINCE: web.RequestKey[float | None] = web.RequestKey(
     "waiting_since",
-    float | None,  # type: ignore[arg-type]  # aiohttp uses it in the key's repr alone
+    float | None,  # type: ignore[arg-type]  # aiohttp uses the type only in the key's repr.
 )
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -40,28 +42,28 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerLimits:
-    """The bounds of a server: counts of connections, sizes in bytes."""
+    """The resource limits of a server: connections as counts, sizes in bytes."""
 
     max_connections: int
-    max_rejected: int  # connections over the limit that may be open until they are answered
+    max_rejected: int  # open connections above `max_connections` that wait for their rejection
     max_body_size: int
-    input_buffer_size: int  # input that may be buffered before its turn, for all connections together
+    input_buffer_size: int  # buffered input of all connections together
 
 
 class HttpServer(web.Server):
-    """Takes client connections up to a limit; idle ones give way to new ones."""
+    """An HTTP server that limits client connections and closes idle ones to accept new ones."""
 
     def __init__(self, handler: Handler, error_response: ErrorResponse, limits: ServerLimits) -> None:
-        # A handler is cancelled when its client has left: it must not work on for nobody.
+        # Cancel a handler when its client disconnects, because the response is no longer needed.
         super().__init__(handler, request_factory=self._new_request, handler_cancellation=True)
         self._make_connection = functools.partial(
             ClientConnection,
             self,
             loop=self._loop,
-            auto_decompress=False,  # a small body must not inflate past the limits
+            auto_decompress=False,  # A small compressed body could expand past the limits.
             access_log=None,
-            keepalive_timeout=to_seconds(SILENCE_TIMEOUT),  # for idle and silent connections
-            lingering_time=0,  # aiohttp's wait for the rest of a body would hold the answer's end back
+            keepalive_timeout=to_seconds(KEEPALIVE_TIMEOUT),
+            lingering_time=0,  # aiohttp would delay the end of the response until the body is read.
         )
         self.listener: Listener | None = None
         self.error_response = error_response
@@ -73,7 +75,7 @@
         self._rejected = RejectedConnections(limits.max_rejected)
 
     def _clients(self) -> Iterable[ClientConnection]:
-        """Return aiohttp's table of connections, all of which `__call__` has made."""
+        """Return aiohttp's open connections, which are all instances of ClientConnection."""
         return cast(Iterable[ClientConnection], self._connections)
 
     def _new_request(
@@ -88,38 +90,38 @@
         request = web.BaseRequest(
             message, payload, protocol, output, task, self._loop, client_max_size=max_size
         )
-        arrival = cast(ClientConnection, protocol).take_arrival(message)
+        arrival = cast(ClientConnection, protocol).pop_head_arrival(message)
         request[WAITING_SINCE] = arrival if payload.is_eof() else None
         return request
 
     def waiting_since(self, transport: asyncio.BaseTransport) -> float:
-        """Return the loop's time since which a new connection may have waited to be accepted."""
+        """Return the earliest loop time at which a new connection can have entered the accept queue."""
         accepted = transport.get_extra_info("socket")
         if self.listener is None or accepted is None:
             return self._loop.time()
         return self.listener.waiting_since.pop(accepted.fileno(), self._loop.time())
 
-    def __call__(self) -> asyncio.Protocol:  # type: ignore[override]  # a rejected one has no handler
-        """Return the protocol of a new connection."""
+    def __call__(self) -> asyncio.Protocol:  # type: ignore[override]  # A rejected connection has no RequestHandler.
+        """Create the protocol object of a new connection, which rejects it if the limit is reached."""
         if len(self._connections) < self.max_connections or self.evict():
             return self._make_connection()
         log.emit_rate_limited("client_connection_rejected", connections=self.max_connections)
         return RejectedConnection(self._rejected)
 
     def evict(self) -> bool:
-        """Close a connection to make room for a new one; return False where none may be closed.
+        """Close a connection to make room for a new one; return False if none can be closed.
 
-        Lingering ones go first, then silent ones, then the one that has been idle for longest. So a flood of
-        connections does not take the capacity of usual clients."""
+        Lingering connections go first, then those that sent no request, then the one idle for longest.
+        So a flood of new connections does not displace clients that send requests."""
         if self.lingering:
             oldest, _ = self.lingering.popitem(last=False)
             oldest.force_close()
             return True
         idle: list[ClientConnection] = []
         opened_before = self._loop.time() - to_seconds(NEW_CONNECTION_AGE)
-        for connection in self._clients():  # oldest first, so that a flood of silent ones is met at once
+        for connection in self._clients():  # The oldest come first, so the search ends early in a flood.
             if connection.transport is None:
-                # Closed already, though still in the table until the loop comes round: it frees nothing more.
+                # The connection is closed, but stays in the table until the next loop iteration.
                 continue
             is_old = connection.idle_since < opened_before
             if connection.is_idle and not connection.has_served and is_old:
@@ -138,24 +140,26 @@
 
     @staticmethod
     def request_waiting_since(request: web.BaseRequest) -> float:
-        """Return the loop's time since which the last byte of a request that was read may have waited."""
+        """Return the earliest loop time at which the last byte of a complete request can have arrived."""
         since = request[WAITING_SINCE]
         if since is not None:
             return since
         return cast(ClientConnection, request.protocol).last_input_since
 
     def request_awaited_since(self, request: web.BaseRequest) -> float:
-        """Return the loop's time since which a request is awaited: for the first, its connection's start."""
+        """Return the loop time from which the timeout of a request body counts.
+
+        It is the connection's start for the first request, and the current time for later ones."""
         connection = cast(ClientConnection, request.protocol)
         return self._loop.time() if connection.has_served else connection.idle_since
 
     @property
     def has_open_requests(self) -> bool:
-        """Whether a connection has a request open, or a part of one."""
+        """Whether a connection has an unanswered or partial request."""
         return any(each.accepts_input and not each.is_idle for each in self._clients())
 
     def drain(self) -> None:
-        """End the idle connections; the others end with their answers."""
+        """Close the idle connections; each other connection closes after its response."""
         self.draining = True
         for connection in list(self._clients()):
             if connection.is_idle:
--- a/llm_router/transport/input_buffer.py
+++ b/llm_router/transport/input_buffer.py
@@ -1,4 +1,4 @@
-"""Buffers what clients send before its turn, within a budget for all connections together."""
+"""Buffers client input that cannot be parsed yet, within a memory budget shared by all connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReceivedPiece:
-    """Bytes from a client, and the loop's time since which they may have waited in the kernel."""
+    """Bytes from a client, and the earliest loop time at which they can have arrived."""
 
     data: bytes
     since: float
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class InputBudget:
-    """The bytes that all connections together may still buffer; negative once it is exceeded."""
+    """The number of bytes that all connections may still buffer; negative if it is exceeded."""
 
     available: int
 
 
 class InputBuffer:
-    """One connection's input that waits for its turn."""
+    """The input of one connection that cannot be parsed yet."""
 
     def __init__(self, budget: InputBudget, max_size: int) -> None:
         self._budget = budget
@@ -35,24 +35,24 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the connection's or the common bound is exceeded."""
+        """Whether the connection's own limit or the shared budget is exceeded."""
         return self._size > self._max_size or self._budget.available < 0
 
     def append(self, data: bytes, since: float) -> None:
-        """Add bytes, also past the bounds: they have been received."""
+        """Add received bytes, even if this exceeds a limit."""
         self._pieces.append(ReceivedPiece(data, since))
         self._size += len(data)
         self._budget.available -= len(data)
 
     def pop(self) -> ReceivedPiece:
-        """Remove the oldest piece and return it."""
+        """Remove and return the oldest piece."""
         piece = self._pieces.popleft()
         self._size -= len(piece.data)
         self._budget.available += len(piece.data)
         return piece
 
     def clear(self) -> None:
-        """Drop everything."""
+        """Drop all buffered input and return its bytes to the budget."""
         self._budget.available += self._size
         self._size = 0
         self._pieces.clear()
--- a/llm_router/transport/rejected_connection.py
+++ b/llm_router/transport/rejected_connection.py
@@ -1,4 +1,4 @@
-"""A client connection over the limit: its request is rejected without being read."""
+"""Rejects client connections above the connection limit without parsing their requests."""
 
 from __future__ import annotations
 
@@ -8,43 +8,44 @@
 
 from llm_router.transport.clock import to_seconds
 
-REJECTED_TIMEOUT = timedelta(seconds=2.2)  # a client is owed an answer or a close within 3 s
+# Time limit for a rejected connection. Clients expect a response or a close within 3 s.
+REJECTED_TIMEOUT = timedelta(seconds=2.2)
 RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 
 class RejectedConnections:
-    """The rejected connections that are open; past `max_count` the oldest one is closed."""
+    """The set of open rejected connections; the oldest is aborted if there are more than `max_count`."""
 
     def __init__(self, max_count: int) -> None:
         self._max_count = max_count
         self._open: OrderedDict[RejectedConnection, asyncio.Transport] = OrderedDict()
 
     def add(self, connection: RejectedConnection, transport: asyncio.Transport) -> None:
-        """Note a new connection."""
+        """Add a connection, and abort the oldest one if there are too many."""
         self._open[connection] = transport
         if len(self._open) > self._max_count:
             _, oldest = self._open.popitem(last=False)
             oldest.abort()
 
     def remove(self, connection: RejectedConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that was closed."""
         self._open.pop(connection, None)
 
 
 class RejectedConnection(asyncio.Protocol):
-    """Rejects the request of one client connection too many, and closes the connection.
+    """A client connection above the limit, which answers the first input with status 503.
 
-    It reads what comes and lets the client close first: the reset that follows a close over unread input may
-    overtake the answer."""
+    It drops further input and lets the client close first. Closing a socket that has unread input resets the
+    connection, and the client may then lose the response."""
 
     def __init__(self, connections: RejectedConnections) -> None:
         self._connections = connections
         self._answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Await the request for a bounded time."""
+        """Register the connection, and abort it if it is still open after REJECTED_TIMEOUT."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         loop = asyncio.get_running_loop()
@@ -52,13 +53,13 @@
         self._connections.add(self, transport)
 
     def data_received(self, _data: bytes) -> None:
-        """Answer the first bytes and drop all others."""
+        """Send the rejection on the first input, and drop all later input."""
         if self._answered:
             return
         self._answered = True
         self._transport.write(RESPONSE)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Handle the end of the connection."""
+        """Cancel the timeout and unregister the connection."""
         self._timeout.cancel()
         self._connections.remove(self)
