--- a/llm_router/transport/shutdown.py
+++ b/llm_router/transport/shutdown.py
@@ -1,4 +1,4 @@
-"""The orderly end of a server: clients that still come are served, open requests are finished."""
+"""Shuts down a server gracefully: late clients are served, and open requests are finished."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from llm_router.transport.clock import to_seconds
 from llm_router.transport.http_server import HttpServer
 
-LINGER = timedelta(seconds=0.5)  # after SIGTERM, as clients keep coming for 0.2 to 0.4 s
-ACCEPT_TIMEOUT = timedelta(milliseconds=300)  # for connections that still wait to be accepted
-ACCEPT_TIMEOUT_FAILING = timedelta(seconds=2)  # the same while accept fails
-CLOSE_TIMEOUT = timedelta(seconds=2)  # for the last bytes to leave
-POLL_INTERVAL = 0.005  # seconds
+# Time after SIGTERM during which connections are accepted. Clients connect for up to 0.2 to 0.4 s after it.
+GRACE_PERIOD = timedelta(seconds=0.5)
+# Time limit for accepting the connections in the accept queue.
+ACCEPT_TIMEOUT = timedelta(milliseconds=300)
+ACCEPT_TIMEOUT_FAILING = timedelta(seconds=2)  # replaces ACCEPT_TIMEOUT while accept calls fail
+CLOSE_TIMEOUT = timedelta(seconds=2)  # time limit for connections to send their last bytes and close
+POLL_INTERVAL = 0.005  # seconds between two checks of a phase's end
 
 
 class ShutdownPhase(Enum):
-    """The phases of a server's life, in the order in which `Shutdown.run` enters them."""
+    """The phases of a server, in the order in which `Shutdown.run` enters them."""
 
-    SERVING = auto()
-    LINGERING = auto()  # as SERVING, but each connection ends with its answer
-    ACCEPTING = auto()  # the connections that wait to be accepted are accepted, then no more
-    DRAINING = auto()  # idle connections are ended, open requests are finished
-    CLOSING = auto()  # the last bytes leave
-    CLOSED = auto()
+    SERVING = auto()  # No shutdown was requested.
+    IN_GRACE_PERIOD = auto()  # New connections are accepted, and each one closes after its response.
+    ACCEPTING = auto()  # The accept queue is emptied before the listener is closed.
+    DRAINING = auto()  # Idle connections are closed, and open requests are finished.
+    CLOSING = auto()  # All requests are answered, and connections send their last bytes.
+    CLOSED = auto()  # The shutdown is complete.
 
 
 class Shutdown:
-    """Ends a server phase by phase."""
+    """The shutdown of one server; `phase` is its progress."""
 
     def __init__(self, http_server: HttpServer, open_requests: Callable[[], int]) -> None:
         self._http_server = http_server
-        self._open_requests = open_requests  # returns how many requests are being handled
+        self._open_requests = open_requests  # returns the number of requests being handled
         self._loop = asyncio.get_running_loop()
         self.phase = ShutdownPhase.SERVING
 
     async def run(self, acceptor: Acceptor) -> None:
-        """Take what still comes for a moment, then close what is idle and wait for the rest."""
-        self.phase = ShutdownPhase.LINGERING
-        await asyncio.sleep(to_seconds(LINGER))
+        """Serve late clients for a grace period, then close idle connections and finish open requests."""
+        self.phase = ShutdownPhase.IN_GRACE_PERIOD
+        await asyncio.sleep(to_seconds(GRACE_PERIOD))
         self.phase = ShutdownPhase.ACCEPTING
         await self._accept_queued(acceptor)
         acceptor.close()
@@ -56,9 +58,10 @@
         self.phase = ShutdownPhase.CLOSED
 
     async def _accept_queued(self, acceptor: Acceptor) -> None:
-        """Wait until the connections that wait are accepted: closing the listener would reset them.
+        """Wait until the accept queue is empty, because closing the listener resets queued connections.
 
-        While accept fails the wait is longer: the kernel has accepted their connections all the same."""
+        The time limit is longer while accept calls fail, because the kernel has already accepted these
+        connections."""
         start = self._loop.time()
         while not acceptor.drained:
             timeout = ACCEPT_TIMEOUT_FAILING if acceptor.failing else ACCEPT_TIMEOUT
--- a/tests/transport/test_frontend_server.py
+++ b/tests/transport/test_frontend_server.py
@@ -23,7 +23,7 @@
 
 
 def test_the_listener_is_closed_only_when_nobody_waits_to_be_accepted(monkeypatch, configuration):
-    monkeypatch.setattr("llm_router.transport.shutdown.LINGER", timedelta())
+    monkeypatch.setattr("llm_router.transport.shutdown.GRACE_PERIOD", timedelta())
     monkeypatch.setattr("llm_router.transport.shutdown.ACCEPT_TIMEOUT", timedelta(seconds=9))
 
     async def test():
