--- a/llm_router/transport/frontend_protocol.py
+++ b/llm_router/transport/frontend_protocol.py
@@ -1,4 +1,6 @@
-"""What a frontend offers: the transport knows endpoints' and clients' protocols through this alone."""
+"""Defines the interface between frontends and the transport.
+
+The transport depends on the protocols of endpoints and clients only through these types."""
 
 from __future__ import annotations
 
@@ -15,18 +17,21 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamRequest:
-    """A request on its way to an endpoint."""
+    """A request to be sent to an endpoint."""
 
     method: str
     path: str
     headers: Mapping[str, str]
     body: bytes
-    deadline_header: str = ""  # gets the milliseconds remaining; empty where the protocol has none
+    # Name of the header for the remaining time in milliseconds; empty if the protocol has no such header.
+    deadline_header: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseHead:
-    """What a response's head says: how the attempt ended, or a response to relay (status None)."""
+    """The parsed head of an endpoint's response.
+
+    `status` is the outcome of the attempt; None if the response is relayed to the client."""
 
     status: AttemptStatus | None
     cached_tokens: int = 0
@@ -36,82 +41,83 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseTail:
-    """What the end of a response says: the prompt tokens that were cached, and a load report."""
+    """The parsed end of an endpoint's response: the number of cached prompt tokens, and a load report."""
 
     cached_tokens: int = 0
     load_report: LoadReport = NO_REPORT
 
 
 class ResponseSink(Protocol):
-    """Where a response goes: a `BufferedSink` if `buffered`, else a `StreamSink`."""
+    """The receiver of a response: a `BufferedSink` if `buffered` is True, else a `StreamSink`."""
 
     @property
     def buffered(self) -> bool:
-        """Whether the response is relayed once it is complete, rather than event by event."""
+        """Whether the response is relayed as a whole when it is complete, rather than event by event."""
 
     @property
     def done(self) -> asyncio.Future[Any]:
-        """The final answer; it is set once the client's handler may return it."""
+        """The future of the final answer, which is set when the client's handler may return it."""
 
     async def start(self) -> None:
-        """Send the response's head."""
+        """Send the head of the response to the client."""
 
     async def write(self, data: bytes) -> None:
-        """Send data."""
+        """Send a part of the response's body to the client."""
 
     async def finish(self) -> None:
-        """Send the response's end, and set `done`."""
+        """Send the end of the response to the client, and set `done`."""
 
     def abort(self) -> None:
-        """End a response that has begun, so that the client sees it is incomplete, and set `done`."""
+        """End a started response so that the client can tell it is incomplete, and set `done`."""
 
 
 class StreamSink(ResponseSink, Protocol):
-    """Where a stream of events goes."""
+    """A sink that relays a stream of events."""
 
     def reset(self) -> None:
-        """Begin an attempt's stream."""
+        """Prepare for the stream of an attempt, and discard the state of an earlier attempt."""
 
     def feed(self, data: bytes) -> bytes:
-        """Take a piece of the stream and return the complete events that may go out now.
+        """Accept a piece of the stream, and return the complete events that can be sent now.
 
-        Raise ValueError where the stream is malformed."""
+        Raise ValueError if the stream is malformed."""
 
     def flush(self, framed: bool) -> bytes:
-        """Return what is left at the stream's end; `framed` says that one cut short would be noticed.
+        """Return the remaining data at the end of the stream.
 
-        Raise ValueError where the stream is malformed, ConnectionError where it may be cut short."""
+        `framed` tells whether HTTP framing would reveal a truncated stream. Raise ValueError if the stream is
+        malformed, ConnectionError if it may be truncated."""
 
 
 class BufferedSink(ResponseSink, Protocol):
-    """Where a response goes that is relayed as one piece."""
+    """A sink that relays a response as a whole."""
 
     def is_complete(self, data: bytes) -> bool:
-        """Return whether a response is complete."""
+        """Return whether the data is a complete response."""
 
 
 class ProxiedRequest(Protocol):
-    """A client's request, as its frontend holds it."""
+    """A client's request, as its frontend provides it to the transport."""
 
     @property
     def received(self) -> RequestReceived:
-        """The event of the request's arrival."""
+        """The event that reports the received request to the lifecycle."""
 
     @property
     def sink(self) -> ResponseSink:
-        """Where the response goes."""
+        """The receiver of the response."""
 
     def upstream_request(self, effect: OpenAttempt) -> UpstreamRequest:
-        """Return the request to send for an attempt."""
+        """Return the request to send to the endpoint for an attempt."""
 
     def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:
-        """Interpret a response's status, headers and, where they are not a stream's, short body."""
+        """Parse a response's status, headers and body; the body is empty if it was not read."""
 
     def read_tail(self, tail: bytes) -> ResponseTail:
-        """Interpret the last bytes of a relayed response."""
+        """Parse the last bytes of a relayed response."""
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer the client that its request was rejected and has had no effect."""
+        """Tell the client that its request was rejected and had no effect."""
 
     def fail(self, id_conflict: bool) -> None:
-        """Answer the client that its request failed; `id_conflict` where its id is in use already."""
+        """Tell the client that its request failed; `id_conflict` tells that its id is already in use."""
--- a/llm_router/transport/frontend_server.py
+++ b/llm_router/transport/frontend_server.py
@@ -1,4 +1,4 @@
-"""The server of one frontend on one address, within the limits on its resources."""
+"""Serves one frontend at one address, with limits on memory and connections."""
 
 from __future__ import annotations
 
@@ -22,18 +22,21 @@
 from llm_router.transport.responses import plain_text_error
 from llm_router.transport.shutdown import Shutdown, ShutdownPhase
 
-BODY_TIMEOUT = timedelta(seconds=2.6)  # for a body: a new client is owed an error or a close within 3 s
-DISCONNECT_CHECK_AFTER = timedelta(milliseconds=30)  # a request that waited longer may have lost its client
-DISCONNECT_CHECK_TURNS = 4  # of the loop: to read the end, lose the connection, and cancel the handler
-INPUT_BUFFER_DIVISOR = 4  # input buffers may take the memory for bodies divided by this
-ACCEPT_BATCH_SIZE = 16  # connections accepted in one turn of the loop
-BACKLOG = 512  # connections that may wait to be accepted
+# Time limit for receiving a request body. Clients expect an error or a close within 3 s of connecting.
+BODY_TIMEOUT = timedelta(seconds=2.6)
+# The client of a request that was queued for longer than this may have disconnected.
+DISCONNECT_CHECK_AFTER = timedelta(milliseconds=30)
+# Loop iterations in which a disconnect is read, the connection is lost and the handler is cancelled.
+DISCONNECT_CHECK_TURNS = 4
+INPUT_BUFFER_DIVISOR = 4  # ratio of the memory for bodies to that for input buffers
+ACCEPT_BATCH_SIZE = 16  # maximum of connections accepted in one loop iteration
+BACKLOG = 512  # maximum of connections in the accept queue
 
 
 class FrontendServer:
-    """Serves a frontend's handler.
+    """An HTTP server that passes requests to the handler of one frontend.
 
-    `error_response(status, text, close=...)` words an error as the frontend's protocol does."""
+    `error_response(status, text, close=...)` returns an error in the format of the frontend's protocol."""
 
     def __init__(self, config: RouterConfig, handler: Handler, error_response: ErrorResponse) -> None:
         limits = config.limits
@@ -61,27 +64,27 @@
         return self._shutdown.phase is not ShutdownPhase.SERVING
 
     def apply_limits(self, limits: ResourceLimits) -> None:
-        """Put new limits in force; what is over them ends by itself."""
+        """Apply new limits; open connections and reserved memory above them are left to end normally."""
         self.http_server.max_connections = limits.client_sockets
         self.body_memory.resize(limits.body_memory)
 
     async def start(self) -> None:
-        """Begin to accept clients; raise OSError where the address cannot be used."""
+        """Begin to accept clients; raise OSError if the address cannot be used."""
         listener = await open_listener(*self._listen_address, BACKLOG)
         self.http_server.listener = listener
-        # A flood must not take all descriptors at once: only a batch is accepted before the connections that
-        # give way are gone.
+        # Small batches give evicted connections time to close before the next ones are accepted. Otherwise a
+        # flood of connections could use up all descriptors.
         self.acceptor = Acceptor(listener, self.http_server, ACCEPT_BATCH_SIZE)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve a request; during shutdown its connection ends with its answer."""
+        """Serve a request; during shutdown close its connection after the response."""
         self.open_requests += 1
         try:
             response = await self._handler(request)
         except Exception as error:
-            # A fault of the router must not end a connection unanswered, or in another protocol's words.
+            # After an internal error the client still gets a response in the frontend's protocol.
             log.emit("request_handler_failed", error=repr(error))
-            response = self._error_response(500, "a fault of the conductor")
+            response = self._error_response(500, "internal error of the conductor")
         finally:
             self.open_requests -= 1
         if self.shutting_down and not response.prepared:
@@ -90,15 +93,15 @@
 
     @staticmethod
     def queueing_delay(request: web.BaseRequest) -> timedelta:
-        """Return how long a request that has been read may have waited, counted from its last byte."""
+        """Return how long a complete request may have been queued since its last byte arrived."""
         return max(timedelta(), elapsed_since(HttpServer.request_waiting_since(request)))
 
     @staticmethod
     async def detect_disconnect(request: web.BaseRequest) -> None:
-        """Let the loop read what follows a request that has waited.
+        """Let the event loop read a client disconnect that may follow a queued request.
 
-        The end of a client that left long ago is read only after its request; it cancels the handler here,
-        before any work is done for nobody."""
+        The loop reads the disconnect only after the request. If there is one, it cancels the handler here,
+        before any work is done for the request."""
         if FrontendServer.queueing_delay(request) <= DISCONNECT_CHECK_AFTER:
             return
         for _ in range(DISCONNECT_CHECK_TURNS):
@@ -106,16 +109,16 @@
 
     @staticmethod
     def body_size_bound(request: web.BaseRequest) -> int:
-        """Return how many bytes a body may take; the maximum where its length is not given."""
+        """Return the maximum size of a request's body in bytes; MAX_BODY_BYTES if its length is unknown."""
         if request.content_length is None:
             return MAX_BODY_BYTES if request.can_read_body else 0
         return min(request.content_length, MAX_BODY_BYTES)
 
     async def read_body(self, request: web.BaseRequest) -> bytes | web.Response:
-        """Return a body, or the response that rejects it where it is too large or too late."""
+        """Return the request's body, or an error response if it is too large or not received in time."""
         size = request.content_length
         if size is not None and size > MAX_BODY_BYTES:
-            return plain_text_error(413, "the body is over 256 KiB", close=True)
+            return plain_text_error(413, "the request body exceeds the limit of 256 KiB", close=True)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         deadline = self.http_server.request_awaited_since(request) + to_seconds(BODY_TIMEOUT)
@@ -123,12 +126,12 @@
             async with asyncio.timeout_at(deadline):
                 return await request.read()
         except web.HTTPRequestEntityTooLarge:
-            return plain_text_error(413, "the body is over 256 KiB", close=True)
+            return plain_text_error(413, "the request body exceeds the limit of 256 KiB", close=True)
         except TimeoutError:
-            return plain_text_error(408, "the body did not arrive", close=True)
+            return plain_text_error(408, "the request body was not received in time", close=True)
 
     async def shut_down(self) -> None:
-        """Stop accepting clients, and serve those that are there to the end."""
+        """Stop accepting clients, finish their open requests, and close the connections."""
         if self.acceptor is None:
-            raise RuntimeError("the server was not started")
+            raise RuntimeError("shut_down() was called before start()")
         await self._shutdown.run(self.acceptor)
