--- a/llm_router/library_log.py
+++ b/llm_router/library_log.py
@@ -1,4 +1,4 @@
-"""Passes the log records of libraries on to the program's own log."""
+"""Forwards the log records of libraries to the router's log."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class LibraryLogHandler(logging.Handler):
-    """Logs each record of a library as the event `library`."""
+    """A logging handler that logs each record as the event `library`."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log a record; logging calls this method by its name."""
+        """Log a record of a library; `logging` calls this method."""
         try:
             text = record.getMessage()
-        except (TypeError, ValueError):  # the library's format and its arguments do not fit
+        except (TypeError, ValueError):  # The format does not fit its arguments.
             text = str(record.msg)
         error = record.exc_info and repr(record.exc_info[1])
         log.emit("library", logger=record.name, level=record.levelname, text=text, error=error)
 
 
 def install() -> None:
-    """Log the warnings and errors of all libraries."""
+    """Forward the warnings and errors of all libraries to the log."""
     logging.basicConfig(level=logging.WARNING, handlers=[LibraryLogHandler()])
--- a/llm_router/log.py
+++ b/llm_router/log.py
@@ -1,6 +1,6 @@
-"""The log: one JSON line for each event, on standard error.
+"""Logs each event as one JSON line on standard error.
 
-No call here blocks on the log's consumer or raises. `docs/on-call.md` lists the events."""
+No function here raises or blocks on the log's consumer. `docs/on-call.md` lists the events."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from llm_router.log_queue import LogQueue
 
 STANDARD_ERROR = 2
-FLUSH_TIMEOUT = timedelta(milliseconds=500)  # for the last lines at the end, if the consumer stalls
-RATE_LIMIT_INTERVAL = timedelta(seconds=1)  # between two lines of an event that is rate-limited
+# Time limit for writing the last lines at exit, in case the consumer stalls.
+FLUSH_TIMEOUT = timedelta(milliseconds=500)
+RATE_LIMIT_INTERVAL = timedelta(seconds=1)  # minimum time between two lines of one event
 
 
 @dataclass(slots=True)
 class RateLimitState:
-    """When an event was logged last, in monotonic seconds, and how many were suppressed since."""
+    """The monotonic time in seconds at which an event was last logged, and the lines suppressed since."""
 
     logged_at: float = float("-inf")
     suppressed: int = 0
 
 
 def encode(event: str, fields: dict[str, object]) -> bytes:
-    """Return a line; a field that JSON has no form for is written as Python's text of it."""
+    """Return an event as a JSON line; a value that JSON cannot represent is written as its `str()`."""
     line = {"at": datetime.now(UTC), "event": event, **fields}
     try:
         return orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
@@ -38,18 +39,18 @@
 
 
 _queue = LogQueue(STANDARD_ERROR, lambda count: encode("log_lines_dropped", {"lines": count}))
-_rate_limits: dict[str, RateLimitState] = {}  # by event
+_rate_limits: dict[str, RateLimitState] = {}  # by event name
 
 
 def emit(event: str, **fields: object) -> None:
-    """Log an event."""
+    """Log an event with its fields."""
     _queue.put(encode(event, fields))
 
 
 def emit_rate_limited(event: str, **fields: object) -> None:
-    """Log an event at most once a second; the field `more` counts those that were suppressed before it.
+    """Log an event at most once a second; the field `more` is the number of suppressed lines before it.
 
-    A flood of events would fill the log, and keep the one core busy with it."""
+    Without the limit a flood of events would fill the log and take up the router's only core."""
     state = _rate_limits.setdefault(event, RateLimitState())
     now = time.monotonic()
     if now - state.logged_at < RATE_LIMIT_INTERVAL.total_seconds():
@@ -62,14 +63,15 @@
 
 
 def flush() -> None:
-    """Wait for the last lines to leave, for a bounded time."""
+    """Wait until all lines are written, at most for FLUSH_TIMEOUT."""
     _queue.flush(FLUSH_TIMEOUT)
 
 
 def occupy_standard_streams() -> None:
     """Open the null device in place of standard streams that were closed before the start.
 
-    Otherwise the first socket would get standard error's number, and the log would go into its stream."""
+    Otherwise the first socket would get the descriptor of standard error, and log lines would go to its peer.
+    """
     with suppress(OSError):
         while (opened := os.open(os.devnull, os.O_RDWR)) <= STANDARD_ERROR:
             pass
--- a/llm_router/log_queue.py
+++ b/llm_router/log_queue.py
@@ -1,4 +1,4 @@
-"""Writes log lines to a descriptor from a thread of its own, so that no caller waits for the consumer."""
+"""Writes log lines to a descriptor in a separate thread, so that no caller waits for the consumer."""
 
 from __future__ import annotations
 
@@ -13,37 +13,38 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-MAX_QUEUED_BYTES = 256 * 1024  # of lines that wait for the consumer
-RETRY_INTERVAL = timedelta(milliseconds=100)  # after a write that failed for a passing reason
-UNDELIVERABLE = (errno.EPIPE, errno.EBADF, errno.ECONNRESET)  # nobody can get the line any more
+MAX_QUEUED_BYTES = 256 * 1024  # maximum size of all queued lines together
+RETRY_INTERVAL = timedelta(milliseconds=100)  # pause after a write that failed with a temporary error
+# Errors after which no consumer can receive the line.
+UNDELIVERABLE = (errno.EPIPE, errno.EBADF, errno.ECONNRESET)
 
 
 class QueuedLine(NamedTuple):
-    """A line, and how many lines are dropped if it is."""
+    """A log line, and the number of lines to count as dropped if it cannot be delivered."""
 
     data: bytes
     line_count: int
 
 
 class LogQueue:
-    """A bounded queue of lines in front of a descriptor, written in order.
+    """A bounded queue of lines that are written to a descriptor in order.
 
-    It withstands a consumer that stalls or is gone, a full disk and partial writes. A line that does not fit
-    or reaches nobody is counted as dropped; a line made by `dropped_line(count)` reports the count as soon as
-    one fits. Thread-safe; no method raises OSError."""
+    It tolerates a consumer that stalls or has closed the descriptor, a full disk and partial writes. Lines
+    that do not fit or cannot be delivered are counted as dropped. When there is space again, a line from
+    `dropped_line(count)` reports them. The class is thread-safe, and no method raises OSError."""
 
     def __init__(self, descriptor: int, dropped_line: Callable[[int], bytes]) -> None:
         self.descriptor, self.dropped_line = descriptor, dropped_line
-        self.dropped = 0  # lines that were dropped and are not reported yet
+        self.dropped = 0  # number of dropped lines that are not reported yet
         self.queued_bytes = 0
         self._lines: deque[QueuedLine] = deque()
-        self._delivered = True  # the line that was written last reached a consumer
-        self._is_writing = False  # a line was taken from the queue and is not out yet
+        self._delivered = True  # Whether the last line could be delivered.
+        self._is_writing = False  # Whether a line from the queue is being written.
         self._changed = threading.Condition()
         self._thread: threading.Thread | None = None
 
     def put(self, line: bytes) -> None:
-        """Queue a line, its line feed included; never blocks on the descriptor."""
+        """Queue a line that ends in a line feed, without blocking on the descriptor."""
         with self._changed:
             if self.queued_bytes + len(line) > MAX_QUEUED_BYTES:
                 self.dropped += 1
@@ -54,14 +55,14 @@
             self._ensure_thread()
 
     def flush(self, timeout: timedelta) -> bool:
-        """Wait until all lines are out, for a bounded time; return whether they are."""
+        """Wait until all lines are written; return False if this takes longer than `timeout`."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: not self._lines and not self._is_writing, timeout=timeout.total_seconds()
             )
 
     def _append_dropped_line(self) -> None:
-        """Queue the line that reports dropped ones, if there are any."""
+        """Queue a line that reports the number of dropped lines, if there are any."""
         if self.dropped:
             self._append(QueuedLine(self.dropped_line(self.dropped), line_count=self.dropped))
             self.dropped = 0
@@ -71,9 +72,9 @@
         self.queued_bytes += len(line.data)
 
     def _ensure_thread(self) -> None:
-        """Start the writing thread; where none can be had, the next line tries again.
+        """Start the writing thread if it is not running; if that fails, the next line tries again.
 
-        At the end of the interpreter, when finalizers may still log, a new thread would never run."""
+        Finalizers may log while the interpreter shuts down, when a new thread would never run."""
         if sys.is_finalizing() or (self._thread is not None and self._thread.is_alive()):
             return
         thread = threading.Thread(target=self._run, name="log", daemon=True)
@@ -84,7 +85,7 @@
         self._thread = thread
 
     def _run(self) -> None:
-        """Write what is queued, for ever."""
+        """Write queued lines in an endless loop."""
         while True:
             line = self._take()
             delivered = self._write(line.data)
@@ -98,7 +99,7 @@
     def _take(self) -> QueuedLine:
         """Wait for the next line and take it from the queue."""
         with self._changed:
-            # Not while nobody consumes: that line would be dropped in turn, and reported, without end.
+            # Without a consumer the report would be dropped and reported again, in an endless loop.
             if not self._lines and self._delivered:
                 self._append_dropped_line()
             while not self._lines:
@@ -109,7 +110,7 @@
             return line
 
     def _write(self, line: bytes) -> bool:
-        """Write a line to its end, however long that takes; return whether it could reach anybody."""
+        """Write a whole line, without a time limit; return False if it is undeliverable."""
         remaining = memoryview(line)
         while remaining:
             try:
@@ -123,7 +124,7 @@
         return True
 
     def _wait_until_writable(self) -> None:
-        """Wait until a descriptor that somebody made non-blocking may take more, or for one interval."""
+        """Wait until a non-blocking descriptor is writable, at most for RETRY_INTERVAL."""
         poll = select.poll()
         poll.register(self.descriptor, select.POLLOUT)
         poll.poll(RETRY_INTERVAL // timedelta(milliseconds=1))
