--- a/llm_router/__main__.py
+++ b/llm_router/__main__.py
@@ -14,12 +14,14 @@
 from llm_router.transport import signals
 from llm_router.transport.event_loop import TimedEventLoop
 
-EXIT_START_FAILED = 1  # it cannot listen at its address
-EXIT_INVALID = 2  # the configuration is at fault; the log names the key
+EXIT_START_FAILED = 1  # exit code if the router cannot listen at its address
+EXIT_INVALID = 2  # exit code for an invalid configuration, whose key is logged
 
 
 def main(arguments: list[str]) -> int:
-    """Load the configuration and serve; return 2 if that cannot be used, 1 if the address cannot."""
+    """Load the configuration and serve; return the exit code.
+
+    It is 2 if the configuration is invalid, 1 if the router cannot listen at its address, and otherwise 0."""
     log.occupy_standard_streams()
     library_log.install()
     standalone_file = _parse_arguments(arguments)
@@ -44,9 +46,9 @@
 
 
 def _parse_arguments(arguments: list[str]) -> Path | None:
-    """Return the standalone configuration file, None for the platform's configuration."""
+    """Return the standalone configuration file, or None if the platform's configuration applies."""
     parser = argparse.ArgumentParser(prog="llm_router", description="One router instance.")
-    parser.add_argument("file", nargs="?", type=Path, help="serve KServe v2 as this file says")
+    parser.add_argument("file", nargs="?", type=Path, help="serve KServe v2 with this configuration file")
     file: Path | None = parser.parse_args(arguments).file
     return file
 
--- a/llm_router/service.py
+++ b/llm_router/service.py
@@ -29,11 +29,11 @@
 from llm_router.transport.supervisor import Supervisor
 from llm_router.xds.watch import XdsFileWatch
 
-GARBAGE_COLLECTION_INTERVAL = timedelta(seconds=10)  # each collection takes 5 to 8 ms
+GARBAGE_COLLECTION_INTERVAL = timedelta(seconds=10)  # Each collection blocks the event loop for 5 to 8 ms.
 
 
 class Frontend(Protocol):
-    """What the service needs of a front end."""
+    """The interface of a frontend that the service uses."""
 
     @property
     def server(self) -> FrontendServer:
@@ -41,26 +41,26 @@
 
     @property
     def runtimes(self) -> list[Runtime]:
-        """The runtimes that have requests out."""
+        """The runtimes that send the frontend's requests to endpoints."""
 
 
 class EndpointWatch(Protocol):
-    """A source of endpoint lists; its text names where they come from."""
+    """A source of endpoint lists; `str()` returns the name of the source."""
 
     async def watch(self) -> None:
-        """Pass on changes until cancelled."""
+        """Report changes of the endpoint list until cancelled."""
 
     def reconfigured(self, config: RouterConfig) -> Self:
-        """Return the watch of a reloaded configuration; raise ConfigurationError if it cannot be used."""
+        """Return the watch for a reloaded configuration; raise ConfigurationError if that is invalid."""
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceParts:
-    """What a service is put together of for its protocol."""
+    """The parts of a service that depend on its protocol."""
 
     frontend: Frontend
     endpoint_watch: EndpointWatch
-    pools: tuple[ConnectionPool, ...]  # which are closed at the end
+    pools: tuple[ConnectionPool, ...]  # The service closes the pools when it ends.
 
 
 class StartError(Exception):
@@ -68,9 +68,9 @@
 
 
 class RouterService:
-    """One running router instance: its front end, its endpoint watch and its connections.
+    """One running router instance: its frontend, its endpoint watch and its connection pools.
 
-    Make it on the event loop that it is to run on. `reload_config` reads the configuration for a reload."""
+    Create it on the event loop on which it runs. `reload_config` reads the configuration for a reload."""
 
     def __init__(self, config: RouterConfig, reload_config: Callable[[], RouterConfig]) -> None:
         self.config, self.reload_config = config, reload_config
@@ -80,18 +80,18 @@
         self.watch_supervisor = Supervisor("watch", self.endpoint_watch.watch)
 
     async def run(self) -> None:
-        """Serve until a signal asks for the shutdown, and then until all accepted requests are answered.
+        """Serve until SIGTERM or SIGINT, and then until all accepted requests are answered.
 
-        Raise StartError where it cannot listen."""
+        Raise StartError if the router cannot listen at its address."""
         stop_requested = asyncio.Event()
-        # First, as the server may have accepted a request from its start on.
+        # The handlers come first because the server may accept requests as soon as it is started.
         signals.install(stop_requested.set, self.reload)
         try:
             await self._start()
         except OSError as error:
             await self._close()
             raise StartError(f"{self.config.listen}: {error}") from error
-        garbage_collector = Supervisor("tidy", collect_garbage)
+        garbage_collector = Supervisor("garbage_collection", collect_garbage)
         await stop_requested.wait()
         await self._drain()
         garbage_collector.stop()
@@ -99,31 +99,31 @@
         log.emit("stopped")
 
     async def _start(self) -> None:
-        """Start to listen."""
+        """Start the server, and exclude long-lived objects from garbage collection."""
         await self.frontend.server.start()
         gc.collect()
-        gc.freeze()  # what lives as long as the process need not be visited by each collection
+        gc.freeze()  # Collections then skip objects that live as long as the process.
         log.emit("started", name=self.config.name, listen=str(self.config.listen), pid=os.getpid())
 
     async def _drain(self) -> None:
-        """Answer what was accepted, and release what endpoints hold for it."""
+        """Answer the accepted requests, and release their KV state and reservations."""
         log.emit("stopping", open=self.frontend.server.open_requests)
         await self.frontend.server.shut_down()
         for runtime in self.frontend.runtimes:
             await runtime.wait_until_idle()
 
     async def _close(self) -> None:
-        """End the watch and close the connections."""
+        """Stop the endpoint watch and close the connection pools."""
         signals.ignore_reload()
         self.watch_supervisor.stop()
         for pool in self.pools:
             await pool.close()
 
     def reload(self) -> None:
-        """Load the configuration again and put in force what a reload may change.
+        """Load the configuration again, and apply the settings that a reload may change.
 
-        A configuration that cannot be used changes nothing. The watch is always made anew: it must not stay
-        with an address that discovery has left."""
+        An invalid configuration changes nothing. The endpoint watch is always replaced, because discovery may
+        have moved to another address."""
         try:
             new = self.reload_config()
             endpoint_watch = self.endpoint_watch.reconfigured(new)
@@ -133,33 +133,33 @@
         self._replace_watch(endpoint_watch)
         self.frontend.server.apply_limits(new.limits)
         self.pool.socket_budget.max_sockets = new.limits.upstream_sockets
-        waiting = self.config.changes_requiring_restart(new)
+        pending_changes = self.config.changes_requiring_restart(new)
         self.config = replace(self.config, **{name: getattr(new, name) for name in RELOADED_FIELDS})
-        log.emit("configuration_reloaded", watch=str(endpoint_watch), at_next_start=waiting)
+        log.emit("configuration_reloaded", watch=str(endpoint_watch), at_next_start=pending_changes)
 
     def _replace_watch(self, endpoint_watch: EndpointWatch) -> None:
-        """Stop the running watch and start another."""
+        """Stop the running endpoint watch and start the given one."""
         self.watch_supervisor.stop()
         self.endpoint_watch = endpoint_watch
         self.watch_supervisor = Supervisor("watch", endpoint_watch.watch)
 
 
 def build_parts(config: RouterConfig, pool: ConnectionPool) -> ServiceParts:
-    """Return the parts for the protocol that the configuration asks for.
+    """Return the parts for the protocol that the configuration selects.
 
-    Raise ConfigurationError if the endpoints that are known at the start are malformed."""
+    Raise ConfigurationError if the initial endpoint list is malformed."""
     if config.xds_files is not None:
         return build_kserve(config, config.xds_files, pool)
-    assert config.discovery is not None, "the platform's configuration requires it"
+    assert config.discovery is not None, "a platform configuration has a discovery address"
     return build_platform(config, config.discovery, pool)
 
 
 def build_platform(
     config: RouterConfig, discovery_address: HostAndPort, pool: ConnectionPool
 ) -> ServiceParts:
-    """Return the parts that serve the platform's protocol."""
+    """Return the parts of a service for the platform's protocol."""
     runtime = Runtime(config, pool, reservation_path, LOAD_REPORT_PATH, parse_load_probe)
-    # Discovery has sockets of its own: requests must not take the last one, so that no list comes any more.
+    # Discovery has its own sockets, so that requests cannot use up all of them and block list updates.
     discovery_pool = ConnectionPool(config, DISCOVERY_SOCKETS)
     discovery = Discovery(discovery_pool, str(discovery_address), read_list, runtime.feed)
     if config.initial_endpoints.get("endpoints"):
@@ -171,7 +171,7 @@
 
 
 def build_kserve(config: RouterConfig, files: XdsFiles, pool: ConnectionPool) -> ServiceParts:
-    """Return the parts that serve KServe v2."""
+    """Return the parts of a service for KServe v2."""
     frontend = KServeFrontend(config, pool)
     watch = XdsFileWatch(files, frontend.feed)
     watch.load()
@@ -179,7 +179,7 @@
 
 
 async def collect_garbage() -> None:
-    """Collect garbage now and then: closed connections are tied in cycles and stay in memory until then."""
+    """Run a garbage collection periodically, which frees closed connections in reference cycles."""
     while True:
         await asyncio.sleep(GARBAGE_COLLECTION_INTERVAL.total_seconds())
         gc.collect()
@@ -192,6 +192,6 @@
 
 
 def _log_event_loop_error(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log an error that no task or callback of ours has handled."""
+    """Log an error that no task or callback of the router has handled."""
     error = repr(context.get("exception"))
     log.emit_rate_limited("event_loop_error", text=context["message"], error=error)
