--- a/llm_router/__main__.py
+++ b/llm_router/__main__.py
@@ -15,7 +15,7 @@
 from llm_router.transport.event_loop import TimedEventLoop
 
 EXIT_START_FAILED = 1  # exit code if the router cannot listen at its address
-EXIT_INVALID = 2  # exit code for an invalid configuration, whose key is logged
+EXIT_INVALID = 2  # exit code for an invalid configuration; the log names the key
 
 
 def main(arguments: list[str]) -> int:
--- a/llm_router/log.py
+++ b/llm_router/log.py
@@ -48,7 +48,7 @@
 
 
 def emit_rate_limited(event: str, **fields: object) -> None:
-    """Log an event at most once a second; the field `more` is the number of suppressed lines before it.
+    """Log an event at most once a second; the field `more` is the number of lines suppressed since the last.
 
     Without the limit a flood of events would fill the log and take up the router's only core."""
     state = _rate_limits.setdefault(event, RateLimitState())
--- a/llm_router/transport/client_connection.py
+++ b/llm_router/transport/client_connection.py
@@ -72,7 +72,7 @@
     def __init__(self, manager: HttpServer, **settings: Any) -> None:  # noqa: ANN401  # aiohttp's
         super().__init__(manager, **settings)
         self._state = ConnectionState.OPEN
-        self.has_served = False  # Whether a request has been answered.
+        self.has_served = False  # Whether any request on this connection was answered.
         self.idle_since = self._loop.time()  # time of the last response, or of the connection's start
         # Earliest time at which the last received bytes can have arrived.
         self.last_input_since = self.idle_since
@@ -217,7 +217,7 @@
         super().force_close()
 
     def linger(self) -> None:
-        """Shut down the sending side; close the connection after LINGER_TIMEOUT if the client has not."""
+        """Shut down the sending side; force the close if the client has not closed by LINGER_TIMEOUT."""
         if self._state is ConnectionState.LINGERING or self.transport is None or self._manager is None:
             return
         self._enter(ConnectionState.LINGERING)
--- a/llm_router/transport/clock.py
+++ b/llm_router/transport/clock.py
@@ -25,7 +25,7 @@
 
 
 def elapsed_since(start: float) -> timedelta:
-    """Return the time that has passed since a time of the running event loop's clock."""
+    """Return the time since `start`, which is a time of the running event loop's clock."""
     return to_duration(asyncio.get_running_loop().time() - start)
 
 
@@ -39,7 +39,7 @@
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> timedelta:
-        """Return the time since the Unix epoch, without any clock steps after the router's start."""
+        """Return the time since the Unix epoch, unaffected by clock steps after the router's start."""
         return to_duration(self._offset + time.monotonic())
 
     def loop_time(self, moment: timedelta) -> float:
--- a/llm_router/transport/frontend_protocol.py
+++ b/llm_router/transport/frontend_protocol.py
@@ -120,4 +120,4 @@
         """Tell the client that its request was rejected and had no effect."""
 
     def fail(self, id_conflict: bool) -> None:
-        """Tell the client that its request failed; `id_conflict` tells that its id is already in use."""
+        """Tell the client that its request failed; `id_conflict` means that its id is already in use."""
--- a/llm_router/transport/listener.py
+++ b/llm_router/transport/listener.py
@@ -25,7 +25,8 @@
 
     def __init__(self, *arguments: int) -> None:
         super().__init__(*arguments)
-        self.waiting_since: dict[int, float] = {}  # earliest time in the queue, by descriptor
+        # Earliest time of entry into the accept queue, by the descriptor of the accepted socket.
+        self.waiting_since: dict[int, float] = {}
         self.drained = True  # Whether the last accept call found the queue empty.
         # Earliest time since which the accept queue may have been non-empty throughout.
         self._queue_since = 0.0
--- a/llm_router/transport/shutdown.py
+++ b/llm_router/transport/shutdown.py
@@ -25,14 +25,14 @@
 
     SERVING = auto()  # No shutdown was requested.
     IN_GRACE_PERIOD = auto()  # New connections are accepted, and each one closes after its response.
-    ACCEPTING = auto()  # The accept queue is emptied before the listener is closed.
+    ACCEPTING = auto()  # The remaining connections in the accept queue are accepted.
     DRAINING = auto()  # Idle connections are closed, and open requests are finished.
     CLOSING = auto()  # All requests are answered, and connections send their last bytes.
     CLOSED = auto()  # The shutdown is complete.
 
 
 class Shutdown:
-    """The shutdown of one server; `phase` is its progress."""
+    """A graceful shutdown of one server; `phase` is the current phase."""
 
     def __init__(self, http_server: HttpServer, open_requests: Callable[[], int]) -> None:
         self._http_server = http_server
--- a/llm_router/transport/signals.py
+++ b/llm_router/transport/signals.py
@@ -17,5 +17,6 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
-    # A loop's signal handler is removed when the loop closes. SIGHUP would then end the process.
+    # The loop removes handlers of loop.add_signal_handler() when it closes, and SIGHUP would then end the
+    # process.
     signal.signal(signal.SIGHUP, lambda _number, _frame: loop.call_soon_threadsafe(reload))
