--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,6 @@
-"""Expect the failures in KNOWN-RED.txt, which has a line `test | cause | issue` for each known one."""
+"""Marks the tests in KNOWN-RED.txt as expected failures.
+
+Each line of the file has the form `test | cause | issue`."""
 
 from __future__ import annotations
 
@@ -14,7 +16,7 @@
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A test that is known to fail, and why."""
+    """A test that is known to fail, with the cause and the number of the issue."""
 
     test: str
     cause: str
@@ -22,7 +24,7 @@
 
 
 def read_known_red(root: Path) -> list[KnownRed]:
-    """Read the list; raise pytest.UsageError where it is too long or malformed, or names no existing test."""
+    """Read KNOWN-RED.txt; raise pytest.UsageError if it is too long or has an invalid line."""
     file = root / "KNOWN-RED.txt"
     if not file.exists():
         return []
@@ -33,18 +35,18 @@
 
 
 def parse_known_red(line: str, root: Path) -> KnownRed:
-    """Parse one line; raise pytest.UsageError where it is malformed or names no existing test."""
+    """Parse one line; raise pytest.UsageError if it is malformed or its test does not exist."""
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 3 or not all(parts):
-        raise pytest.UsageError(f"KNOWN-RED.txt: not `test | cause | issue`: {line}")
+        raise pytest.UsageError(f"KNOWN-RED.txt: line is not of the form `test | cause | issue`: {line}")
     known = KnownRed(*parts)
     if not is_defined(root, known.test):
-        raise pytest.UsageError(f"KNOWN-RED.txt: there is no test {known.test}")
+        raise pytest.UsageError(f"KNOWN-RED.txt: test does not exist: {known.test}")
     return known
 
 
 def is_defined(root: Path, test: str) -> bool:
-    """Return whether a test's file defines its function."""
+    """Return whether the file of a test id defines the test function."""
     path, _, name = test.partition("::")
     file = root / path
     if not file.is_file():
@@ -55,7 +57,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the tests that are known to fail; one that passes fails the run."""
+    """Mark the known failures as strict expected failures, so that one that passes fails the run."""
     config.known_red = read_known_red(ROOT)
     for known in config.known_red:
         for item in items:
@@ -64,6 +66,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the list, so that nobody takes the run for a complete one."""
+    """Print the known failures, so that a reader does not take the run for a full pass."""
     for known in getattr(config, "known_red", ()):
         terminalreporter.write_line(f"known red: {known.test}: {known.cause} (issue {known.issue})")
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -1,4 +1,4 @@
-"""Run the router as a process before stand-in discovery and endpoints."""
+"""Run the router as a process with stand-ins for discovery and endpoints."""
 
 import asyncio
 import json
@@ -17,26 +17,32 @@
 from llm_router.emulator.http import read_message
 from llm_router.emulator.router_process import free_port
 
-MAX_LINE_BYTES = 1 << 20  # of the log
-FAULT_EVENTS = ("library", "task_failed", "request_handler_failed", "relay_failed", "event_loop_error")
+MAX_LINE_BYTES = 1 << 20  # maximum length of a log line
+INTERNAL_ERROR_EVENTS = (
+    "library",
+    "task_failed",
+    "request_handler_failed",
+    "relay_failed",
+    "event_loop_error",
+)
 
 
 class RouterProcess:
-    """A router's process with its log and what stands before and behind it."""
+    """A router process with its log, its configuration, and its stand-in discovery and endpoints."""
 
     def __init__(self, process, address):
         self.process = process
         self.address = address
         self.log = []
         self.discovery = None
-        self.file = None  # of its configuration
+        self.file = None  # path of the configuration file
         self.configuration = None
-        self.entries = None  # of the endpoint list at its start
+        self.entries = None  # entries of the endpoint list at the start
         self.prefill_server = None
         self.decode_server = None
 
     async def wait_for_log(self, event):
-        """Wait for an event of the log, and return its line."""
+        """Read the log until a line has the event, and return this line."""
         while True:
             raw = await within(self.process.stderr.readline())
             assert raw, f"the router ended before it logged {event}: {self.log}"
@@ -54,7 +60,7 @@
 
     @property
     def log_pipe(self):
-        """The reading end of the pipe that is the router's standard error."""
+        """The reading end of the pipe to which the router writes its log."""
         return self.process._transport.get_pipe_transport(2)
 
     async def stop(self):
@@ -67,7 +73,7 @@
         assert await self.stop() == 0
         remaining = await within(self.process.stderr.read())
         lines = [*self.log, *(json.loads(line) for line in remaining.splitlines())]
-        return [line for line in lines if line["event"] in FAULT_EVENTS]
+        return [line for line in lines if line["event"] in INTERNAL_ERROR_EVENTS]
 
     async def connect(self):
         """Open a connection to the router."""
@@ -75,7 +81,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def exchange(self, data):
-        """Send raw bytes on a new connection and return the answer."""
+        """Send raw bytes on a new connection and return the response."""
         reader, writer = await self.connect()
         writer.write(data)
         try:
@@ -86,7 +92,7 @@
 
 @asynccontextmanager
 async def started_process(*arguments, address, module="llm_router", **environment):
-    """Start a router as a process, and kill it at the end of the block where it still runs."""
+    """Start a router process, and kill it at the end of the block if it is still running."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -108,10 +114,10 @@
 
 @asynccontextmanager
 async def running_router(tmp_path, entries, plan=None, **changes):
-    """Start a router as the platform does, before a discovery that lists the entries.
+    """Start a router with the platform's configuration and a stand-in discovery that lists the entries.
 
-    `plan` is a fault plan for its system calls (llm_router.emulator.fault_plan); `changes` are keys of the
-    configuration."""
+    `plan` is a fault plan for the router's system calls (llm_router.emulator.fault_plan). `changes` replace
+    keys of the configuration."""
     address = f"127.0.0.1:{free_port()}"
     async with StandInDiscovery(entries) as discovery:
         configuration = {
@@ -141,7 +147,7 @@
 
 @asynccontextmanager
 async def router_with_endpoints(tmp_path, prefill=prefill, decode=decode, **changes):
-    """Start a router with one prefill and one decode server, with their handlers."""
+    """Start a router with one prefill and one decode endpoint, which run the given handlers."""
     async with StandInServer(prefill) as prefill_server, StandInServer(decode) as decode_server:
         entries = [
             registry_entry("r1", prefill_server.address, "prefill"),
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail is short, correct and printed."""
+"""Checks the handling of KNOWN-RED.txt, the list of tests that are known to fail."""
 
 import subprocess
 import sys
@@ -20,7 +20,7 @@
 
 
 def run_suite(folder: Path, *lines: str) -> subprocess.CompletedProcess:
-    """Run a small suite with a list of its own."""
+    """Run a suite of two tests with the given lines as its KNOWN-RED.txt."""
     (folder / "tests").mkdir()
     (folder / "tests" / "conftest.py").write_text(HOOK)
     (folder / "tests" / "test_it.py").write_text(TESTS)
@@ -32,19 +32,19 @@
 RED = "tests/test_it.py::test_red | it fails | 10"
 
 
-def test_what_is_listed_may_fail_and_is_printed(tmp_path):
+def test_a_listed_test_may_fail_and_is_printed(tmp_path):
     result = run_suite(tmp_path, RED)
     assert result.returncode == 0, result.stdout
     assert "known red: tests/test_it.py::test_red: it fails (issue 10)" in result.stdout
     assert "1 passed, 1 xfailed" in result.stdout
 
 
-def test_what_is_listed_must_fail(tmp_path):
+def test_a_listed_test_that_passes_fails_the_run(tmp_path):
     result = run_suite(tmp_path, RED, "tests/test_it.py::test_green | it passes | 10")
     assert result.returncode == 1 and "strict" in result.stdout
 
 
-def test_what_is_not_listed_fails_the_run(tmp_path):
+def test_an_unlisted_failure_fails_the_run(tmp_path):
     assert run_suite(tmp_path).returncode == 1
 
 
@@ -58,6 +58,6 @@
     ],
     ids=["a fourth line", "an unknown test", "an unknown file", "a line cut short"],
 )
-def test_a_list_that_is_wrong_fails_the_run(tmp_path, lines):
+def test_an_invalid_list_fails_the_run(tmp_path, lines):
     result = run_suite(tmp_path, *lines)
     assert result.returncode not in (0, 5) and "KNOWN-RED.txt" in result.stdout + result.stderr
