--- a/tests/test_log_queue.py
+++ b/tests/test_log_queue.py
@@ -1,4 +1,4 @@
-"""The log's queue over descriptors that fail as write(2) documents, and one that is closed."""
+"""Checks the log queue with partial writes, the errors that write(2) documents, and a closed descriptor."""
 
 import asyncio
 import errno
@@ -20,7 +20,9 @@
 
 @pytest.fixture
 def output(monkeypatch):
-    """Return a queue, what came out of it, and what its next writes do: errors, or how much they take."""
+    """Return a log queue, its written bytes, and a list of results for its next writes.
+
+    A result is the name of an error, or the number of bytes that the write accepts."""
     written, answers, genuine = bytearray(), [], os.write
 
     def write(descriptor, data):
@@ -51,7 +53,7 @@
 
 
 @pytest.mark.parametrize("error", ["EAGAIN", "EINTR", "EIO", "ENOSPC", "EDQUOT", "EFBIG", "EPERM", "ENOMEM"])
-def test_a_write_that_fails_for_a_passing_reason_is_retried(output, error):
+def test_a_write_is_retried_after_a_temporary_error(output, error):
     queue, written, answers = output
     answers += [error, 2, error, error]
     queue.put(b"first\n")
@@ -63,7 +65,7 @@
 def test_undeliverable_lines_are_counted_and_reported_to_the_next_consumer(output, error):
     queue, written, answers = output
     answers += [error, error]
-    with queue._changed:  # both wait before the first is written
+    with queue._changed:  # Both lines are queued before the first is written.
         queue.put(b"first\n")
         queue.put(b"second\n")
     assert queue.flush(FLUSH_TIMEOUT)
@@ -71,7 +73,7 @@
     assert queue.flush(FLUSH_TIMEOUT) and written == b"dropped 2\nthird\n"
 
 
-def test_a_consumer_that_is_gone_costs_a_bounded_number_of_writes(monkeypatch):
+def test_without_a_consumer_the_number_of_writes_is_bounded(monkeypatch):
     calls = []
 
     def fail(_descriptor, data):
@@ -83,7 +85,7 @@
     for number in range(5):
         queue.put(b"line %d\n" % number)
         time.sleep(0.02)
-    assert len(calls) <= 2 * 5, "it must not write by itself without end"
+    assert len(calls) <= 2 * 5, "the queue must not write reports in an endless loop"
     assert queue.dropped >= 5
 
 
@@ -95,7 +97,7 @@
     for _ in range(2 * MAX_QUEUED_BYTES // len(line)):
         queue.put(line)
     assert queue.queued_bytes <= MAX_QUEUED_BYTES and queue.dropped > 0
-    assert not queue.flush(timedelta(milliseconds=20)), "a flush is bounded, too"
+    assert not queue.flush(timedelta(milliseconds=20)), "flush must return after its timeout"
     blocked.set()
     assert queue.flush(FLUSH_TIMEOUT)
     queue.put(b"last\n")
@@ -105,7 +107,7 @@
 
 
 def test_a_router_that_was_started_without_standard_error_serves(tmp_path):
-    """Otherwise the first socket has its number, and the log goes into that."""
+    """Otherwise the first socket would get the descriptor of standard error, and receive the log lines."""
 
     async def test():
         async with StandInDiscovery([]) as discovery:
@@ -122,14 +124,14 @@
                 f"exec {sys.executable} -m llm_router <&- >&- 2>&-",
                 env={**os.environ, "EDGE_CONFIG": str(file)},
             )
-            program = RouterProcess(process, address)
+            router = RouterProcess(process, address)
             try:
                 await discovery.wait_for("GET /registry/instances")
                 await asyncio.sleep(0.5)
                 for _ in range(5):
-                    answer = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
+                    answer = await router.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
                     assert answer is not None and answer[0].split()[1] == "200"
-                assert await program.stop() == 0
+                assert await router.stop() == 0
             finally:
                 if process.returncode is None:
                     process.kill()
--- a/tests/test_start_failure.py
+++ b/tests/test_start_failure.py
@@ -1,4 +1,4 @@
-"""A router that cannot start says so and ends; one that can start a moment later does."""
+"""Checks that a router retries its start, and logs the error and exits if it cannot start."""
 
 import asyncio
 import json
@@ -10,9 +10,9 @@
 from stand_ins import SETTINGS, chat_request, router_with_endpoints, run, within
 
 
-def test_a_router_whose_address_stays_taken_ends_and_says_so(tmp_path):
-    """The error of the start went past the connection pools, whose finalizers logged as the interpreter was
-    ending; the log then waited for good for a thread that could not start."""
+def test_a_router_whose_address_stays_in_use_logs_the_error_and_exits(tmp_path):
+    """Guards against a hang at exit: after a failed start, finalizers of open connection pools log while the
+    interpreter shuts down. The log must not wait for a thread that cannot start."""
 
     async def test():
         with socket.create_server(("127.0.0.1", 0)) as occupant:
@@ -43,16 +43,16 @@
             *retries, last = [json.loads(line) for line in log.splitlines()]
             assert last["event"] == "start_failed" and address in last["error"]
             assert {line["event"] for line in retries} <= {"listen_failed", "discovery_lost"}
-            assert len(retries) <= 5, "about one a second"
+            assert len(retries) <= 5, "retries are logged about once a second"
             assert process.returncode == 1
 
     run(test())
 
 
 @pytest.mark.parametrize("error", ["ENOMEM", "ENFILE", "ENOBUFS"])
-def test_a_router_starts_though_its_first_sockets_cannot_be_had(tmp_path, error):
-    """A shortage that passes ended the process: "start_failed ... Cannot allocate memory". The soak found it;
-    the listening socket was the only one whose creation was tried once."""
+def test_a_router_starts_although_its_first_sockets_cannot_be_created(tmp_path, error):
+    """Guards against an exit with "start_failed ... Cannot allocate memory" after a temporary shortage. The
+    creation of the listening socket must be retried."""
 
     async def test():
         plan = {"calls": [{"call": "socket", "errors": [error], "times": 3}]}
