--- a/tests/transport/test_client_disconnect.py
+++ b/tests/transport/test_client_disconnect.py
@@ -1,4 +1,6 @@
-"""A client that has left gets no work done for it, also where its end is read after its request."""
+"""Checks that a request is not served if its client disconnected while the request was queued.
+
+The event loop reads the disconnect only after the request, so it could start to serve the request."""
 
 import asyncio
 import socket
@@ -14,7 +16,7 @@
 
 
 async def requests_received(config, act):
-    """Let a client act while the loop is busy, and return the requests that the lifecycle gets after that."""
+    """Let a client act while the loop is busy, and return the requests that the lifecycle then receives."""
     events = []
     frontend = PlatformFrontend(config, SimpleNamespace(proxied_requests={}, feed=events.append))
     await frontend.server.start()
@@ -23,7 +25,7 @@
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.01)
         act(client)
-        time.sleep(0.1)  # the loop is busy: the request and the client's end wait side by side
+        time.sleep(0.1)  # The loop is busy, so the request and the disconnect are both queued.
         for _ in range(50):
             await asyncio.sleep(0)
     frontend.server.acceptor.close()
@@ -31,23 +33,23 @@
     return [event for event in events if isinstance(event, RequestReceived)]
 
 
-def leave(client):
+def send_and_close(client):
     client.sendall(chat_request())
     client.close()
 
 
-def end_sending(client):
+def send_and_shut_down_sending(client):
     client.sendall(chat_request())
     client.shutdown(socket.SHUT_WR)
 
 
-def reset(client):
+def send_and_reset(client):
     client.sendall(chat_request())
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.close()
 
 
-def stay(client):
+def send_and_stay(client):
     client.sendall(chat_request())
 
 
@@ -62,11 +64,11 @@
 
 
 @pytest.mark.usefixtures("never_blocked")
-@pytest.mark.parametrize("act", [leave, end_sending, reset])
-def test_a_client_that_left_while_its_request_waited_is_not_served(act, config):
+@pytest.mark.parametrize("act", [send_and_close, send_and_shut_down_sending, send_and_reset])
+def test_a_request_whose_client_disconnected_while_it_was_queued_is_not_served(act, config):
     assert run(requests_received(config, act)) == []
 
 
-def test_a_client_that_stays_is_served(config):
-    received = run(requests_received(config, stay))
+def test_a_request_whose_client_stays_connected_is_served(config):
+    received = run(requests_received(config, send_and_stay))
     assert [event.request_id for event in received] == ["r1"]
--- a/tests/transport/test_event_loop.py
+++ b/tests/transport/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop's account of since when its input may have waited."""
+"""Checks the event loop's estimate of when its input arrived."""
 
 import asyncio
 import socket
@@ -12,13 +12,13 @@
 
 
 def run(test):
-    """Run a test on the program's own kind of loop."""
+    """Run a test on a TimedEventLoop, the router's event loop."""
     with asyncio.Runner(loop_factory=TimedEventLoop) as runner:
         return runner.run(test)
 
 
 async def time_of_input(send_after):
-    """Return since when a byte may have waited by the loop's account, and when it was sent."""
+    """Return the loop's estimate of the earliest arrival time of a byte, and the time it was sent."""
     loop = asyncio.get_running_loop()
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.usefixtures("never_blocked")
-def test_input_that_came_while_the_loop_was_busy_counts_from_the_poll_before():
+def test_input_that_arrives_while_the_loop_is_busy_counts_from_the_previous_poll():
     def busy(_loop, send):
         send()
         time.sleep(0.05)
@@ -52,6 +52,6 @@
     assert since <= sent
 
 
-def test_input_that_the_loop_waited_for_counts_from_its_coming():
+def test_input_that_the_loop_waited_for_counts_from_its_arrival():
     since, sent = run(time_of_input(lambda _loop, send: threading.Timer(0.05, send).start()))
     assert since >= sent
--- a/tests/transport/test_frontend_server.py
+++ b/tests/transport/test_frontend_server.py
@@ -1,4 +1,4 @@
-"""The server of a frontend: its answer to faults of ours, and its shutdown."""
+"""Checks a frontend server's response to internal errors, and its shutdown."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from llm_router.transport.frontend_server import FrontendServer
 
 
-def test_a_fault_of_ours_is_answered_in_the_words_of_the_frontend(configuration):
+def test_an_internal_error_is_answered_in_the_format_of_the_frontend(configuration):
     async def fails(_request):
         raise RuntimeError("a fault")
 
@@ -22,7 +22,7 @@
     asyncio.run(test())
 
 
-def test_the_listener_is_closed_only_when_nobody_waits_to_be_accepted(monkeypatch, configuration):
+def test_the_listener_is_closed_only_when_the_accept_queue_is_empty(monkeypatch, configuration):
     monkeypatch.setattr("llm_router.transport.shutdown.GRACE_PERIOD", timedelta())
     monkeypatch.setattr("llm_router.transport.shutdown.ACCEPT_TIMEOUT", timedelta(seconds=9))
 
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -1,4 +1,4 @@
-"""Client connections: which ones give way to new ones, and when one is idle."""
+"""Checks which client connections are closed for new ones, and when a connection counts as idle."""
 
 import asyncio
 from types import SimpleNamespace
@@ -15,9 +15,9 @@
     return ServerLimits(max_connections, max_rejected, size, size)
 
 
-def test_each_connection_accepted_over_the_limit_makes_another_one_close():
+def test_each_connection_above_the_limit_closes_another_one():
     async def never(_request):
-        raise AssertionError("no request comes")
+        raise AssertionError("the handler must not be called")
 
     class Transport:
         def __init__(self):
@@ -35,14 +35,14 @@
             connection = server()
             connection.connection_made(transport)
             connection.idle_since -= 2 * to_seconds(NEW_CONNECTION_AGE)
-        accepted = [server() for _ in range(4)]  # as many as the loop accepts in one go
+        accepted = [server() for _ in range(4)]  # The loop accepts several connections in one iteration.
         assert [type(each) for each in accepted] == [ClientConnection] * 3 + [RejectedConnection]
         assert all(transport.closed for transport in transports)
 
     asyncio.run(test())
 
 
-def test_a_flood_is_met_without_a_check_of_every_connection(monkeypatch):
+def test_eviction_does_not_check_every_connection(monkeypatch):
     checked = []
     is_idle = ClientConnection.is_idle
 
@@ -65,7 +65,7 @@
     asyncio.run(test())
 
 
-def test_a_connection_with_a_request_is_at_no_moment_idle_until_its_answer():
+def test_a_connection_is_not_idle_between_a_request_and_its_response():
     async def test():
         handled, answer = asyncio.Event(), asyncio.Event()
 
@@ -81,7 +81,9 @@
         while not (connections := server.connections) or not connections[0]._request_count:
             await asyncio.sleep(0)
         while not handled.is_set():
-            assert not connections[0].all_answered, "read, and about to be handled"
+            assert not connections[0].all_answered, (
+                "a request that was read must not count as answered before its handler begins"
+            )
             await asyncio.sleep(0)
         server.drain()
         assert not connections[0].all_answered
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener's account of since when connections may have waited to be accepted."""
+"""Checks the listener's estimate of when connections entered the accept queue."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 
 
 def run(test):
-    """Run a test on the program's own kind of loop."""
+    """Run a test on a TimedEventLoop, the router's event loop."""
     with asyncio.Runner(loop_factory=TimedEventLoop) as runner:
         return runner.run(test)
 
@@ -26,7 +26,7 @@
         yield made
 
 
-def test_connections_left_in_the_queue_have_waited_since_it_began(listener):
+def test_connections_left_in_the_queue_count_from_its_first_entry(listener):
     async def test():
         loop = asyncio.get_running_loop()
         clients = [socket.create_connection(listener.getsockname()) for _ in range(3)]
@@ -34,7 +34,7 @@
         first, _ = listener.accept()
         began = listener.waiting_since[first.fileno()]
         time.sleep(0.05)
-        await asyncio.sleep(0)  # another poll, after which the others are accepted
+        await asyncio.sleep(0)  # The other connections are accepted after another poll.
         second, _ = listener.accept()
         assert listener.waiting_since[second.fileno()] == began
         third, _ = listener.accept()
@@ -52,11 +52,11 @@
 
 
 @pytest.mark.usefixtures("never_blocked")
-def test_nobody_has_waited_longer_than_a_full_queue_took_to_accept(listener):
+def test_no_connection_counts_as_waiting_longer_than_the_turnover_of_a_full_queue(listener):
     async def test():
         listener.listen(2)
         clients, accepted = [socket.create_connection(listener.getsockname())], []
-        for _ in range(5):  # the queue never empties
+        for _ in range(5):  # The queue is never empty.
             clients.append(socket.create_connection(listener.getsockname()))
             await asyncio.sleep(0)
             accepted.append(listener.accept()[0])
@@ -69,10 +69,11 @@
     run(test())
 
 
-def test_a_queue_that_the_loop_found_empty_between_two_connections_is_a_new_one(listener):
+def test_a_connection_after_an_idle_poll_does_not_count_from_the_previous_queue(listener):
     async def test():
         client = socket.create_connection(listener.getsockname())
-        accepted, _ = listener.accept()  # the loop stops here, not knowing that none is left
+        # The loop does not accept again, so it does not know that the queue is empty.
+        accepted, _ = listener.accept()
         await asyncio.sleep(0.01)
         await asyncio.sleep(0.01)
         before = time.monotonic()
--- a/tests/transport/test_stepped_clock.py
+++ b/tests/transport/test_stepped_clock.py
@@ -1,4 +1,4 @@
-"""Slow start is a span of real time, whatever the wall clock of our machine says."""
+"""Checks that a wrong wall clock on the router's host does not change the duration of slow start."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
     run,
 )
 
-SLOW_START = 4.0  # seconds
+SLOW_START = 4.0  # duration of slow start in seconds
 REQUESTS = 60
 HOUR = 3600
 RULES = {
@@ -29,9 +29,9 @@
 }
 
 
-async def prefills_at_new_endpoint(program, name):
-    """Send requests of many sessions; return how many prefills the endpoint that came last got."""
-    before = len(program.new.named("POST /v1/chat"))
+async def prefills_at_new_endpoint(router, name):
+    """Send requests of many sessions; return the number of prefills that the new endpoint received."""
+    before = len(router.new.named("POST /v1/chat"))
     for number in range(REQUESTS):
         request = message(
             "POST /v1/chat/completions HTTP/1.1",
@@ -43,8 +43,8 @@
             X_Facts="prompt_len=100,max_out=20",
             X_Session_Key=f"{name}{number}",
         )
-        assert (await program.exchange(request))[0].split()[1] == "200"
-    return len(program.new.named("POST /v1/chat")) - before
+        assert (await router.exchange(request))[0].split()[1] == "200"
+    return len(router.new.named("POST /v1/chat")) - before
 
 
 async def decode_and_release(call, writer):
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("offset", [0, HOUR, -HOUR, 30, -30])
-def test_a_new_endpoint_starts_slowly_and_ends_its_slow_start_in_time(tmp_path, offset):
+def test_slow_start_ends_in_time_despite_a_clock_offset(tmp_path, offset):
     async def test():
         settings = {**SETTINGS, "rules": RULES}
         settings["family_info"] = {**SETTINGS["family_info"], "ahead": False}
@@ -63,21 +63,23 @@
         async with (
             router_with_endpoints(
                 tmp_path, decode=decode_and_release, plan=plan, settings=settings
-            ) as program,
-            StandInServer(program.prefill_server.handler) as program.new,
+            ) as router,
+            StandInServer(router.prefill_server.handler) as router.new,
         ):
-            entry = registry_entry("new", program.new.address, "prefill")
-            await program.discovery.wait_for("GET /registry/instances?since=1")
+            entry = registry_entry("new", router.new.address, "prefill")
+            await router.discovery.wait_for("GET /registry/instances?since=1")
             entry["since_ms"] = int(time.time() * 1000)
-            await program.discovery.publish([*program.entries, entry])
+            await router.discovery.publish([*router.entries, entry])
             begun = time.monotonic()
             await asyncio.sleep(0.3)
-            first = await prefills_at_new_endpoint(program, "early")
-            assert time.monotonic() - begun < SLOW_START, "too slow a machine to tell"
-            assert first <= REQUESTS // 4, "it got as much as an established one"
+            first = await prefills_at_new_endpoint(router, "early")
+            assert time.monotonic() - begun < SLOW_START, (
+                "the requests took longer than slow start; the test cannot tell"
+            )
+            assert first <= REQUESTS // 4, "the new endpoint must get fewer prefills during slow start"
             await asyncio.sleep(SLOW_START + 0.5 - (time.monotonic() - begun))
-            assert await prefills_at_new_endpoint(program, "late") >= REQUESTS // 5, (
-                "it is still in slow start"
+            assert await prefills_at_new_endpoint(router, "late") >= REQUESTS // 5, (
+                "the new endpoint must get its full share after slow start"
             )
 
     run(test())
