--- a/tests/test_log_queue.py
+++ b/tests/test_log_queue.py
@@ -78,7 +78,7 @@
 
     def fail(_descriptor, data):
         calls.append(bytes(data))
-        raise BrokenPipeError(errno.EPIPE, "nobody reads")
+        raise BrokenPipeError(errno.EPIPE, "the reader has closed the pipe")
 
     monkeypatch.setattr(log_queue.os, "write", fail)
     queue = LogQueue(DESCRIPTOR, lambda count: b"dropped %d\n" % count)
