--- a/llm_router/transport/frontend_server.py
+++ b/llm_router/transport/frontend_server.py
@@ -29,8 +29,8 @@
 # Loop iterations in which a disconnect is read, the connection is lost and the handler is cancelled.
 DISCONNECT_CHECK_TURNS = 4
 INPUT_BUFFER_DIVISOR = 4  # ratio of the memory for bodies to that for input buffers
-ACCEPT_BATCH_SIZE = 16  # maximum of connections accepted in one loop iteration
-BACKLOG = 512  # maximum of connections in the accept queue
+ACCEPT_BATCH_SIZE = 16  # maximum number of connections accepted in one loop iteration
+BACKLOG = 512  # maximum number of connections in the accept queue
 
 
 class FrontendServer:
--- a/llm_router/transport/http_server.py
+++ b/llm_router/transport/http_server.py
@@ -45,9 +45,9 @@
     """The resource limits of a server: connections as counts, sizes in bytes."""
 
     max_connections: int
-    max_rejected: int  # open connections above `max_connections` that wait for their rejection
+    max_rejected: int  # maximum number of open rejected connections
     max_body_size: int
-    input_buffer_size: int  # buffered input of all connections together
+    input_buffer_size: int  # maximum size of the buffered input of all connections together
 
 
 class HttpServer(web.Server):
--- a/llm_router/transport/input_buffer.py
+++ b/llm_router/transport/input_buffer.py
@@ -22,7 +22,7 @@
 
 
 class InputBuffer:
-    """The input of one connection that cannot be parsed yet."""
+    """A buffer for the input of one connection that cannot be parsed yet."""
 
     def __init__(self, budget: InputBudget, max_size: int) -> None:
         self._budget = budget
