--- a/llm_router/transport/event_loop.py
+++ b/llm_router/transport/event_loop.py
@@ -47,7 +47,7 @@
         asyncio's public function creates a task for each connection, which is costly when many arrive at
         once. This method calls a private method of the event loop in the pinned Python release."""
         extra = {"peername": peer}
-        self._make_socket_transport(accepted, factory(), extra=extra)  # type: ignore[attr-defined]  # a private method
+        self._make_socket_transport(accepted, factory(), extra=extra)  # type: ignore[attr-defined]  # private
 
 
 def input_since(loop: asyncio.AbstractEventLoop) -> float:
