--- a/llm_router/transport/client_connection.py
+++ b/llm_router/transport/client_connection.py
@@ -69,7 +69,7 @@
 
     _manager: HttpServer | None
 
-    def __init__(self, manager: HttpServer, **settings: Any) -> None:  # noqa: ANN401  # aiohttp defines the settings.
+    def __init__(self, manager: HttpServer, **settings: Any) -> None:  # noqa: ANN401  # aiohttp's settings
         super().__init__(manager, **settings)
         self._state = ConnectionState.OPEN
         self.has_served = False  # Whether any request on this connection was answered.
--- a/llm_router/transport/http_server.py
+++ b/llm_router/transport/http_server.py
@@ -101,7 +101,7 @@
             return self._loop.time()
         return self.listener.waiting_since.pop(accepted.fileno(), self._loop.time())
 
-    def __call__(self) -> asyncio.Protocol:  # type: ignore[override]  # A rejected connection has no RequestHandler.
+    def __call__(self) -> asyncio.Protocol:  # type: ignore[override]  # may be a RejectedConnection
         """Create the protocol object of a new connection, which rejects it if the limit is reached."""
         if len(self._connections) < self.max_connections or self.evict():
             return self._make_connection()
