--- a/llm_router/service.py
+++ b/llm_router/service.py
@@ -91,7 +91,7 @@
         except OSError as error:
             await self._close()
             raise StartError(f"{self.config.listen}: {error}") from error
-        garbage_collector = Supervisor("garbage_collection", collect_garbage)
+        garbage_collector = Supervisor("tidy", collect_garbage)
         await stop_requested.wait()
         await self._drain()
         garbage_collector.stop()
--- a/tests/transport/test_malformed_peers.py
+++ b/tests/transport/test_malformed_peers.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from kserve_sidecar import ANSWER, assignment, infer_request, sidecar, status
+from kserve_sidecar import ANSWER, infer_request, load_assignment, sidecar, status
 from stand_ins import (
     EVENT,
     STREAM,
@@ -323,13 +323,15 @@
             StandInServer(answer_v2) as good,
             sidecar(folder, bad) as program,
         ):
-            assert await status(program, infer(time_left_ms=2000)) == 502, name
-            assert await status(program, infer(time_left_ms=2000)) == 409, name
+            assert await status(program, infer_request(time_left_ms=2000)) == 502, name
+            assert await status(program, infer_request(time_left_ms=2000)) == 409, name
             assert len(bad.calls) == 1 and await bad.closed.get()
-            program.endpoints.write_text(assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY")))
+            program.endpoints_file.write_text(
+                load_assignment((bad.address, "HEALTHY"), (good.address, "HEALTHY"))
+            )
             await program.wait_for_log("endpoint_list_updated")
             for number in range(4):
-                assert await status(program, infer(request_id=f"l{number}", cls="lookup")) == 200
+                assert await status(program, infer_request(request_id=f"l{number}", cls="lookup")) == 200
             assert not await program.stop_and_read_internal_errors()
 
     async def test():
@@ -343,6 +345,6 @@
     async def test():
         async with router_with_endpoints(tmp_path, prefill=never_prefill) as program:
             program.prefill_server.handler = writes(b"\x80\x81\r\n\r\n")
-            assert (await program.exchange(chat_request(left=2000)))[0].split()[1] == "503"
+            assert (await program.exchange(chat_request(time_remaining_ms=2000)))[0].split()[1] == "503"
 
     run(test())
--- a/tests/transport/test_time_remaining.py
+++ b/tests/transport/test_time_remaining.py
@@ -165,7 +165,9 @@
             tmp_path, prefill=record_and_prefill, decode=decode_first_late
         ) as program:
             reader, writer = await program.connect()
-            writer.write(chat_request(id="r1", left=4000) + chat_request(id="r2", time_remaining_ms=4000))
+            writer.write(
+                chat_request(id="r1", time_remaining_ms=4000) + chat_request(id="r2", time_remaining_ms=4000)
+            )
             await program.decode_server.wait_for("POST /v1/chat")
             delay = 0.4
             await asyncio.sleep(delay)
