--- a/llm_router/frontends/__init__.py
+++ b/llm_router/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The front ends: each translates a client protocol to the lifecycle's events, and its effects to answers."""
+"""Frontends. Each frontend translates between one client protocol and the lifecycle's events and effects."""
--- a/llm_router/frontends/kserve/__init__.py
+++ b/llm_router/frontends/kserve/__init__.py
@@ -1,4 +1,4 @@
-"""The KServe v2 inference protocol over REST, for clients that speak it and endpoints that do."""
+"""Frontend for clients and endpoints that use the KServe v2 inference protocol over HTTP."""
 
 from llm_router.frontends.kserve.frontend import KServeFrontend
 
--- a/llm_router/frontends/kserve/frontend.py
+++ b/llm_router/frontends/kserve/frontend.py
@@ -1,4 +1,4 @@
-"""Serves v2 clients: each model is a cluster of endpoints with a runtime of its own."""
+"""Serves KServe v2 clients. Each model is a cluster of endpoints with a runtime of its own."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     overloaded_response,
 )
 from llm_router.frontends.kserve.routes import Operation, find_route
-from llm_router.frontends.request_handling import InvalidRequestError, after_queueing, run_request
+from llm_router.frontends.request_handling import InvalidRequestError, run_request, subtract_queueing_delay
 from llm_router.lifecycle.events import EndpointListReceived
 from llm_router.routing.events import EndpointStatus
 from llm_router.routing.settings import Role
@@ -27,14 +27,16 @@
 from llm_router.transport.responses import request_target
 from llm_router.transport.runtime import Runtime
 
-SERVER_NAME = "hoplane"  # the program's first name: clients may check it
+# Clients may check the server name, so it stays although the program is now called llm_router.
+SERVER_NAME = "hoplane"
 EXTENSIONS = ["binary_tensor_data"]
-METADATA_TIMEOUT = timedelta(seconds=1)  # for one endpoint to answer
+METADATA_TIMEOUT = timedelta(seconds=1)  # timeout of a metadata request to one endpoint
+# Retry-After of the response if no endpoint returned the metadata.
 NO_METADATA_BACKOFF = timedelta(seconds=1)
 
 
 class KServeFrontend:
-    """The front end of all models; a model is known from the first endpoint list of its cluster on."""
+    """The KServe v2 frontend of all models; the first endpoint list of a cluster adds its model."""
 
     def __init__(self, config: RouterConfig, pool: ConnectionPool) -> None:
         self.config, self.pool = config, pool
@@ -46,22 +48,22 @@
 
     @property
     def runtimes(self) -> list[Runtime]:
-        """The runtimes that have requests out."""
+        """The runtimes of all models."""
         return list(self.models.values())
 
     def feed(self, model: str, endpoint_list: EndpointListReceived) -> None:
-        """Take a cluster's endpoint list; a cluster that was not known is a new model."""
+        """Pass a cluster's endpoint list to the model's runtime; create the runtime if the model is new."""
         if model not in self.models:
             self.models[model] = Runtime(self.config, self.pool)
         self.models[model].feed(endpoint_list)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Answer one client request."""
         route = find_route(request.path)
         if route is None:
             return error_response(404, "unknown path", close=True)
         if request.method != route.operation.method:
-            return error_response(405, f"only {route.operation.method}", close=True)
+            return error_response(405, f"method not allowed; use {route.operation.method}", close=True)
         if route.model is None:
             return self._describe_server(route.operation)
         return await self._handle_model(request, route.model, route.operation)
@@ -91,24 +93,24 @@
         return json_response({"name": SERVER_NAME, "version": __version__, "extensions": EXTENSIONS})
 
     def _is_ready(self, runtime: Runtime) -> bool:
-        """Return whether a model has an endpoint that may answer."""
+        """Return whether a model has a ready endpoint that can decode."""
         return any(
             endpoint.status is EndpointStatus.READY and endpoint.kind in self.decoding_kinds
             for endpoint in runtime.state.endpoints.values()
         )
 
     async def _describe_model(self, runtime: Runtime, path: str) -> web.Response:
-        """Pass on the metadata that the first endpoint to answer has of a model."""
+        """Return the model metadata of the first ready endpoint that answers."""
         for endpoint in list(runtime.state.endpoints.values()):
             if endpoint.status is not EndpointStatus.READY:
                 continue
             answer = await self.pool.fetch(endpoint.address, path, METADATA_TIMEOUT)
             if answer is not None:
                 return web.Response(status=answer.status, body=answer.body, content_type=JSON_CONTENT_TYPE)
-        return error_response(503, "no endpoint tells of this model", NO_METADATA_BACKOFF)
+        return error_response(503, "no endpoint returned the metadata of this model", NO_METADATA_BACKOFF)
 
     async def _infer_within_memory(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
-        """Run an inference if the memory for bodies has room for it."""
+        """Run an inference, or reject it if its body exceeds the free memory for request bodies."""
         size = self.server.body_size_bound(request)
         if not self.server.body_memory.reserve(size):
             return overloaded_response()
@@ -118,7 +120,7 @@
             self.server.body_memory.release(size)
 
     async def _infer(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
-        """Read an inference, run it and return its final answer."""
+        """Read the body of an inference request, run the request and return its final answer."""
         body = await self.server.read_body(request)
         if isinstance(body, web.Response):
             return error_response(body.status, (body.text or "").strip(), close=True)
@@ -131,5 +133,5 @@
         await self.server.detect_disconnect(request)
         if len(runtime.proxied_requests) >= self.config.max_open_requests:
             return overloaded_response()
-        received = after_queueing(received, self.server.queueing_delay(request))
+        received = subtract_queueing_delay(received, self.server.queueing_delay(request))
         return await run_request(runtime, KServeRequest(request, received, body))
--- a/llm_router/frontends/kserve/proxied_request.py
+++ b/llm_router/frontends/kserve/proxied_request.py
@@ -1,4 +1,4 @@
-"""One client's request on its way through the v2 front end."""
+"""Client requests that the KServe v2 frontend forwards to endpoints."""
 
 from __future__ import annotations
 
@@ -17,14 +17,19 @@
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail, UpstreamRequest
 from llm_router.transport.responses import request_target
 
-FORWARDED_HEADERS = ("Content-Type", INFERENCE_HEADER_LENGTH)  # in both directions
-NOT_PROCESSED = "X-Unprocessed"  # as on the platform; v2 itself has no such promise
-CLIENT_ERRORS = range(400, 500)  # the endpoint's verdict on the request, which any other would repeat
+# The router copies these headers from a request to an endpoint and from a response to a client.
+FORWARDED_HEADERS = ("Content-Type", INFERENCE_HEADER_LENGTH)
+# An endpoint states with this header that it did not run a request. KServe v2 has no such header; the name is
+# the one in the platform's protocol.
+NOT_PROCESSED = "X-Unprocessed"
+# These statuses are returned to the client without a retry: each endpoint would answer the request alike.
+CLIENT_ERRORS = range(400, 500)
+# These client errors depend on the endpoint's state, so they are treated as failures of the attempt.
 TRANSIENT_CLIENT_ERRORS = (408, 429)
 
 
 class KServeRequest:
-    """A `ProxiedRequest` whose response is buffered until it is complete."""
+    """A KServe v2 request from a client; its response is buffered until it is complete."""
 
     def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
         self.received = received
@@ -32,34 +37,36 @@
         self._body, self._path = body, request_target(request)
         self._headers = _forwarded_headers(request.headers)
 
-    def upstream_request(self, effect: OpenAttempt) -> UpstreamRequest:  # noqa: ARG002 - alike for each endpoint
-        """Return the client's request as it goes to an endpoint."""
+    def upstream_request(self, effect: OpenAttempt) -> UpstreamRequest:  # noqa: ARG002 - same request for every endpoint
+        """Return the request to send to an endpoint."""
         return UpstreamRequest("POST", self._path, self._headers, self._body)
 
-    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:  # noqa: ARG002 - says nothing more
-        """Return what a response's head means for the attempt, and note the head for the client."""
+    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:  # noqa: ARG002 - body not needed
+        """Interpret the status and headers of a response, and store them for the answer to the client."""
         self.sink.status = status
         self.sink.headers = _forwarded_headers(headers)
         return parse_head(status, headers)
 
     def read_tail(self, tail: bytes) -> ResponseTail:  # noqa: ARG002 - v2 endpoints report no cached tokens
-        """Return what a response's end says: the shared prefix is taken for cached."""
+        """Return the cached tokens of a response: the whole shared prefix is assumed to be cached."""
         return ResponseTail(self.received.prefix_tokens)
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer that the request was not run and may be sent again after a while."""
+        """Answer the client that its request was not run, and when it may be retried."""
         self.sink.answer(error_response(503, "refused: try again later", retry_after))
 
     def fail(self, id_conflict: bool) -> None:
-        """Answer that the request failed, or that its id is that of one which may have run."""
+        """Answer that the request failed, or that a request with its id is running or may have run."""
         if id_conflict:
-            self.sink.answer(error_response(409, "this id is running or may have run"))
+            self.sink.answer(error_response(409, "a request with this id is running or may have run"))
         else:
-            self.sink.answer(error_response(502, "failed: it may have run, or time is over"))
+            self.sink.answer(
+                error_response(502, "failed: the request may have run, or its deadline has passed")
+            )
 
 
 class BufferedResponseSink:
-    """Passes a response on once it is complete."""
+    """Buffers a response and sends it to the client once it is complete."""
 
     buffered = True
 
@@ -70,7 +77,9 @@
         self._data = b""
 
     def is_complete(self, data: bytes) -> bool:
-        """Return whether a response is complete: one that ends with its connection states no length."""
+        """Return whether the data is a complete response.
+
+        A response without a Content-Length ends when its connection closes, so its JSON must be parsed."""
         try:
             parse_inference_header(self.headers, data)
         except InvalidRequestError:
@@ -78,36 +87,38 @@
         return True
 
     async def start(self) -> None:
-        """Do nothing: the head goes out with the data."""
+        """Do nothing: `finish` sends the head together with the data."""
 
     async def write(self, data: bytes) -> None:
-        """Take the response's data, which comes in one piece."""
+        """Store the response's data, which arrives as one piece."""
         self._data = data
 
     async def finish(self) -> None:
-        """Answer the client with the response."""
+        """Send the buffered response to the client."""
         self.answer(web.Response(status=self.status, headers=self.headers, body=self._data))
 
     def abort(self) -> None:
-        """Answer the client that the response broke off."""
-        self.answer(error_response(502, "the answer broke off"))
+        """Answer the client that the endpoint's response was incomplete."""
+        self.answer(error_response(502, "the response of the endpoint was incomplete"))
 
     def answer(self, response: web.Response) -> None:
-        """Set the final answer, unless there is one."""
+        """Set the final answer, unless it is already set."""
         if not self.done.done():
             self.done.set_result(response)
 
 
 def parse_head(status: int, headers: Mapping[str, str]) -> ResponseHead:
-    """Return what a response's head means; without the promise that it did not run, a request may have."""
+    """Interpret the status and headers of a response.
+
+    A failed request counts as run unless the endpoint states that it was not processed."""
     if headers.get(NOT_PROCESSED) == "1":
         return ResponseHead(AttemptStatus.OVERLOADED)
-    is_verdict = status in CLIENT_ERRORS and status not in TRANSIENT_CLIENT_ERRORS
-    if status == 200 or is_verdict:
+    is_final_client_error = status in CLIENT_ERRORS and status not in TRANSIENT_CLIENT_ERRORS
+    if status == 200 or is_final_client_error:
         return ResponseHead(None)
     return ResponseHead(AttemptStatus.ERROR)
 
 
 def _forwarded_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return those headers that are passed on."""
+    """Return the headers that the router forwards."""
     return {name: headers[name] for name in FORWARDED_HEADERS if name in headers}
--- a/llm_router/frontends/kserve/responses.py
+++ b/llm_router/frontends/kserve/responses.py
@@ -1,4 +1,4 @@
-"""Makes the responses of the v2 protocol that the router gives itself."""
+"""Builds the KServe v2 responses that the router itself sends."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 from llm_router.transport.responses import retry_after
 
 JSON_CONTENT_TYPE = "application/json"
-OVERLOADED_BACKOFF = timedelta(seconds=1)  # what a client is told to wait where a resource limit is met
+# Retry-After of a request that is rejected because of a resource limit.
+OVERLOADED_BACKOFF = timedelta(seconds=1)
 
 
 def json_response(value: object, status: int = 200) -> web.Response:
-    """Return a response in JSON."""
+    """Return a response with a JSON body."""
     return web.Response(status=status, body=orjson.dumps(value), content_type=JSON_CONTENT_TYPE)
 
 
 def error_response(
     status: int, text: str, backoff: timedelta | None = None, close: bool = False
 ) -> web.Response:
-    """Return an error; `backoff` makes its Retry-After header, `close` ends the connection."""
+    """Return an error response with a JSON body.
+
+    `backoff` sets the Retry-After header; `close` closes the connection after the response."""
     headers = {} if backoff is None else {"Retry-After": retry_after(backoff)}
     body = orjson.dumps({"error": text})
     response = web.Response(status=status, headers=headers, body=body, content_type=JSON_CONTENT_TYPE)
@@ -32,4 +35,4 @@
 
 def overloaded_response() -> web.Response:
     """Return the rejection of a request that would exceed a resource limit."""
-    return error_response(503, "too much at once", OVERLOADED_BACKOFF, close=True)
+    return error_response(503, "the router is overloaded", OVERLOADED_BACKOFF, close=True)
--- a/llm_router/frontends/kserve/routes.py
+++ b/llm_router/frontends/kserve/routes.py
@@ -1,4 +1,4 @@
-"""Maps request paths to the operations of the v2 protocol."""
+"""Maps request paths to the operations of the KServe v2 protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Operation(Enum):
-    """What a client asks for."""
+    """An operation of the KServe v2 protocol."""
 
     SERVER_METADATA = auto()
     SERVER_LIVE = auto()
@@ -21,7 +21,7 @@
 
     @property
     def method(self) -> str:
-        """The only HTTP method that the operation has."""
+        """The only HTTP method that the operation supports."""
         return "POST" if self is Operation.INFER else "GET"
 
 
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """An operation, and the model that it is about; None for the server as a whole."""
+    """An operation and its model; `model` is None if the operation concerns the whole server."""
 
     operation: Operation
     model: str | None = None
 
 
 def find_route(path: str) -> Route | None:
-    """Return the route of a path, None for an unknown one."""
+    """Return the route of a path, or None for an unknown path."""
     if path in SERVER_OPERATIONS:
         return Route(SERVER_OPERATIONS[path])
     match = MODEL_PATH.fullmatch(path)
--- a/llm_router/frontends/platform/__init__.py
+++ b/llm_router/frontends/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: HTTP/1.1 with facts in headers, and streams of events as responses."""
+"""Frontend for the platform's protocol: HTTP/1.1 with prompt facts in headers and event-stream responses."""
 
 from llm_router.frontends.platform.frontend import PlatformFrontend
 from llm_router.frontends.platform.load_report import parse_load_probe
--- a/llm_router/frontends/platform/client_request.py
+++ b/llm_router/frontends/platform/client_request.py
@@ -1,4 +1,4 @@
-"""Reads the headers of a client's request."""
+"""Parses the headers of client requests in the platform's protocol."""
 
 from __future__ import annotations
 
@@ -15,21 +15,27 @@
     SESSION,
     TIME_REMAINING_MS,
 )
-from llm_router.frontends.request_handling import MAX_KEY_LENGTH, InvalidRequestError, usable_time
+from llm_router.frontends.request_handling import (
+    MAX_KEY_LENGTH,
+    InvalidRequestError,
+    subtract_response_margin,
+)
 from llm_router.lifecycle.events import RequestReceived
 
 REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9_.:-]{1,128}")
-MAX_DIGITS = 9  # of a whole number
+MAX_DIGITS = 9  # maximum number of digits of a whole number in a header
 
 
 def parse_request(headers: Mapping[str, str], class_names: Container[str]) -> RequestReceived:
-    """Return the request that the headers describe; raise InvalidRequestError for the first one at fault."""
+    """Return the request event that the headers describe.
+
+    Raise InvalidRequestError for the first invalid header."""
     request_id = headers.get(REQUEST_ID, "")
     if not REQUEST_ID_PATTERN.fullmatch(request_id):
         raise InvalidRequestError(f"{REQUEST_ID}: is missing or malformed")
     class_name = headers.get(SERVICE_CLASS, "")
     if class_name not in class_names:
-        raise InvalidRequestError(f"{SERVICE_CLASS}: is not a class of this service")
+        raise InvalidRequestError(f"{SERVICE_CLASS}: is not a known class")
     time_remaining = _time_remaining(headers)
     facts = _facts(headers)
     prompt_tokens = _token_count(facts, "prompt_len")
@@ -38,14 +44,14 @@
     session = headers.get(SESSION, "")
     prefix = facts.get("prefix", "")
     if max(len(session), len(prefix)) > MAX_KEY_LENGTH:
-        raise InvalidRequestError(f"{SESSION} and prefix: are at most {MAX_KEY_LENGTH} characters")
+        raise InvalidRequestError(f"{SESSION} and prefix: must have at most {MAX_KEY_LENGTH} characters")
     retry = headers.get(RETRY)
     return RequestReceived(
         request_id=request_id,
         class_name=class_name,
         prompt_tokens=prompt_tokens,
         max_output_tokens=max_output_tokens,
-        time_remaining=usable_time(time_remaining),
+        time_remaining=subtract_response_margin(time_remaining),
         session=session or None,
         prefix=prefix or None,
         prefix_tokens=prefix_tokens,
@@ -55,15 +61,15 @@
 
 
 def _time_remaining(headers: Mapping[str, str]) -> timedelta:
-    """Return how long the client still waits."""
+    """Return the client's time remaining, as stated in its header."""
     milliseconds = headers.get(TIME_REMAINING_MS, "")
     if not _is_integer(milliseconds):
-        raise InvalidRequestError(f"{TIME_REMAINING_MS}: must be whole milliseconds")
+        raise InvalidRequestError(f"{TIME_REMAINING_MS}: must be a whole number of milliseconds")
     return timedelta(milliseconds=int(milliseconds))
 
 
 def _facts(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the facts by name, as they are written."""
+    """Return the values in the facts header by name, unparsed."""
     facts = {}
     for fact in headers.get(FACTS, "").split(","):
         name, _, value = fact.strip().partition("=")
@@ -73,7 +79,7 @@
 
 
 def _token_count(facts: Mapping[str, str], name: str) -> int:
-    """Return a length in tokens, which must be there."""
+    """Return a required number of tokens from the facts header."""
     value = facts.get(name, "")
     if not _is_integer(value):
         raise InvalidRequestError(f"{FACTS}: {name} must be a whole number")
@@ -81,5 +87,5 @@
 
 
 def _is_integer(text: str) -> bool:
-    """Return whether a text consists of a bounded number of ASCII digits."""
+    """Return whether a string is a whole number of at most `MAX_DIGITS` ASCII digits."""
     return text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
--- a/llm_router/frontends/platform/endpoint_response.py
+++ b/llm_router/frontends/platform/endpoint_response.py
@@ -1,4 +1,4 @@
-"""Reads what an endpoint's response means for the attempt."""
+"""Interprets endpoints' responses in the platform's protocol."""
 
 from __future__ import annotations
 
@@ -10,16 +10,21 @@
 from llm_router.routing.events import NO_REPORT, AttemptStatus
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail
 
+# HTTP statuses: a stream of events follows, the prefill is complete, the endpoint does not have the KV state.
 STREAM, PREFILLED, STATE_MISSING = 200, 202, 410
+# With these statuses an endpoint may state that it did not process the request.
 NOT_PROCESSED_STATUSES = (STATE_MISSING, 503, 504)
 CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*(\d{1,9})')
-LOAD_REPORT_LINE = re.compile(  # a comment of the event stream
+# An event stream carries a load report in a comment line.
+LOAD_REPORT_LINE = re.compile(
     rb"^: ?" + LOAD_REPORT.encode() + rb": ?([^\r\n]*)", re.MULTILINE | re.IGNORECASE
 )
 
 
 def parse_head(status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:
-    """Return what a response's head means; without the promise that it did not run, a request may have."""
+    """Interpret the status, headers and short body of a response.
+
+    A failed request counts as run unless the endpoint states that it was not processed."""
     load_report = parse_load_report(headers.get(LOAD_REPORT, ""))
     if status == STREAM:
         return ResponseHead(None, load_report=load_report)
@@ -33,13 +38,13 @@
 
 
 def parse_tail(tail: bytes) -> ResponseTail:
-    """Return what a stream's end says: the cached tokens, and a load report in a comment."""
+    """Return the cached tokens and the load report in the last bytes of an event stream."""
     reports = LOAD_REPORT_LINE.findall(tail)
     load_report = parse_load_report(reports[-1].decode("latin-1")) if reports else NO_REPORT
     return ResponseTail(parse_cached_tokens(tail), load_report)
 
 
 def parse_cached_tokens(data: bytes) -> int:
-    """Return how many prompt tokens were cached, by the last usage in the data; 0 where there is none."""
+    """Return the number of cached prompt tokens in the last usage object of the data, or 0 without one."""
     counts = CACHED_TOKENS.findall(data)
     return int(counts[-1]) if counts else 0
--- a/llm_router/frontends/platform/frontend.py
+++ b/llm_router/frontends/platform/frontend.py
@@ -1,4 +1,4 @@
-"""Serves the platform's clients."""
+"""Serves clients that use the platform's protocol."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from llm_router.frontends.platform.client_request import parse_request
 from llm_router.frontends.platform.names import CHAT_PATH, READINESS_PATH
 from llm_router.frontends.platform.proxied_request import PlatformRequest
-from llm_router.frontends.request_handling import InvalidRequestError, after_queueing, run_request
+from llm_router.frontends.request_handling import InvalidRequestError, run_request, subtract_queueing_delay
 from llm_router.lifecycle.events import RequestReceived
 from llm_router.transport.frontend_server import FrontendServer
 from llm_router.transport.responses import plain_text_error
@@ -17,7 +17,7 @@
 
 
 class PlatformFrontend:
-    """The front end of one runtime, which serves all classes of requests."""
+    """The frontend for the platform's protocol; one runtime serves all classes of requests."""
 
     def __init__(self, config: RouterConfig, runtime: Runtime) -> None:
         self.config, self.runtime = config, runtime
@@ -26,17 +26,17 @@
 
     @property
     def runtimes(self) -> list[Runtime]:
-        """The runtimes that have requests out."""
+        """The frontend's only runtime, in a list."""
         return [self.runtime]
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request; one that is malformed or too much at once reaches no endpoint."""
+        """Answer one client request; reject malformed requests and requests over a resource limit."""
         if request.path == READINESS_PATH:
             return web.Response(status=503 if self.server.shutting_down else 200)
         if request.path != CHAT_PATH:
             return plain_text_error(404, "unknown path", close=True)
         if request.method != "POST":
-            return plain_text_error(405, "only POST", close=True)
+            return plain_text_error(405, "method not allowed; use POST", close=True)
         try:
             received = parse_request(request.headers, self.class_names)
         except InvalidRequestError as error:
@@ -50,7 +50,7 @@
             self.server.body_memory.release(size)
 
     async def _chat(self, request: web.BaseRequest, received: RequestReceived) -> web.StreamResponse:
-        """Read the body of a chat request, run it and return its final answer."""
+        """Read the body of a chat request, run the request and return its final answer."""
         body = await self.server.read_body(request)
         if isinstance(body, web.Response):
             return body
@@ -58,10 +58,10 @@
             return plain_text_error(400, body_problem, close=True)
         await self.server.detect_disconnect(request)
         if received.request_id in self.runtime.proxied_requests:
-            return plain_text_error(409, "this id is in use")
+            return plain_text_error(409, "a request with this id is running")
         if len(self.runtime.proxied_requests) >= self.config.max_open_requests:
             return _overloaded()
-        received = after_queueing(received, self.server.queueing_delay(request))
+        received = subtract_queueing_delay(received, self.server.queueing_delay(request))
         proxied_request = PlatformRequest(request, received, body)
         if self.server.shutting_down:
             proxied_request.close_connection_after_response()
@@ -69,16 +69,16 @@
 
 
 def _find_body_problem(body: bytes) -> str | None:
-    """Return what is wrong with a body, None if it is a JSON object."""
+    """Return an error message if a body is not a JSON object, else None."""
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError:
-        return "the body is not JSON"
+        return "the body must be JSON"
     return None if isinstance(value, dict) else "the body must be a JSON object"
 
 
 def _overloaded() -> web.Response:
     """Return the rejection of a request that would exceed a resource limit."""
-    response = web.Response(status=503, headers={"Retry-After": "1"}, text="too much at once\n")
+    response = web.Response(status=503, headers={"Retry-After": "1"}, text="the router is overloaded\n")
     response.force_close()
     return response
--- a/llm_router/frontends/platform/load_report.py
+++ b/llm_router/frontends/platform/load_report.py
@@ -1,4 +1,4 @@
-"""Reads endpoints' load reports, which are written as `name=value` pairs joined by commas."""
+"""Parses load reports from endpoints, which are comma-separated `name=value` pairs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def parse_load_report(text: str) -> LoadReport:
-    """Return the report; a gauge that is not a finite number is left out."""
+    """Return the load report; ignore a gauge whose value is not a finite number."""
     gauges: dict[str, float] = {}
     for gauge in text.split(","):
         name, _, value = gauge.strip().partition("=")
@@ -22,5 +22,5 @@
 
 
 def parse_load_probe(body: bytes) -> LoadReport:
-    """Return the report in the response to a load probe."""
+    """Return the load report in the response to a load probe."""
     return parse_load_report(body.decode("latin-1"))
--- a/llm_router/frontends/platform/proxied_request.py
+++ b/llm_router/frontends/platform/proxied_request.py
@@ -1,4 +1,4 @@
-"""One client's request on its way through the platform's front end."""
+"""Client requests that the frontend for the platform's protocol forwards to endpoints."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PlatformRequest:
-    """A `ProxiedRequest` whose response is a stream of events."""
+    """A client request in the platform's protocol; its response is a stream of events."""
 
     def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
         self.received = received
@@ -34,31 +34,33 @@
         self.sink = EventStreamSink(request, self._response, self._done)
 
     def close_connection_after_response(self) -> None:
-        """Let the client's connection end with the response."""
+        """Close the client's connection after the response."""
         self._response.force_close()
 
-    def upstream_request(self, effect: OpenAttempt) -> UpstreamRequest:  # noqa: ARG002 - alike for each endpoint
-        """Return the client's request as it goes to an endpoint."""
+    def upstream_request(self, effect: OpenAttempt) -> UpstreamRequest:  # noqa: ARG002 - same request for every endpoint
+        """Return the request to send to an endpoint."""
         headers = {REQUEST_ID: self.received.request_id, "Content-Type": self._content_type}
         return UpstreamRequest(self._method, self._path, headers, self._body, TIME_REMAINING_MS)
 
     def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> ResponseHead:
-        """Return what a response's head means for the attempt."""
+        """Interpret the status, headers and short body of an endpoint's response."""
         return parse_head(status, headers, body)
 
     def read_tail(self, tail: bytes) -> ResponseTail:
-        """Return what a stream's end says."""
+        """Return the cached tokens and the load report in the last bytes of an event stream."""
         return parse_tail(tail)
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer that the request was not run and may be sent again after a while."""
+        """Answer the client that its request was not run, and when it may be retried."""
         headers = {"Retry-After": format_retry_after(retry_after)}
         self._answer(web.Response(status=503, headers=headers, text="refused\n"))
 
     def fail(self, id_conflict: bool) -> None:
-        """Answer that the request failed, or that its id belongs to another one."""
+        """Answer that the request failed, or that another request with the same id is running."""
         self._answer(
-            plain_text_error(409, "this id is in use") if id_conflict else plain_text_error(502, "failed")
+            plain_text_error(409, "a request with this id is running")
+            if id_conflict
+            else plain_text_error(502, "failed")
         )
 
     def _answer(self, response: web.Response) -> None:
--- a/llm_router/frontends/registry_list.py
+++ b/llm_router/frontends/registry_list.py
@@ -1,6 +1,7 @@
-"""Reads discovery's endpoint list in the registry's JSON form.
+"""Parses the endpoint list that discovery sends as JSON.
 
-A malformed entry does not spoil the others, and what can be read of it counts: a drain must not be missed."""
+A malformed entry does not invalidate the others. The router uses the readable fields of a malformed entry, so
+that it does not miss that an endpoint is draining."""
 
 from __future__ import annotations
 
@@ -19,21 +20,22 @@
     "Terminating": EndpointStatus.DRAINING,
     "Gone": EndpointStatus.REMOVED,
 }
-UNKNOWN_STATUS = EndpointStatus.DRAINING  # a status that the protocol does not name gets nothing new
+# An endpoint whose status is unknown to the router gets no new requests.
+UNKNOWN_STATUS = EndpointStatus.DRAINING
 ADDRESS = re.compile(r"(?:[A-Za-z0-9._-]+|\[[0-9A-Fa-f:.]+\]):(\d{1,5})")
 PORTS = range(1, 65536)
-MAX_REPORTED = 10  # malformed entries that are named in a log line
+MAX_REPORTED = 10  # maximum number of malformed fields and entries in one log line
 
 
 class MalformedEntryError(ValueError):
-    """An entry of which not even the name and the status can be read."""
+    """An entry of an endpoint list that has no readable name or no readable status."""
 
 
 def read_list(answer: Mapping[str, Any]) -> EndpointListReceived:
-    """Return the endpoint list; raise ValueError if nothing of it can be read."""
+    """Return the endpoint list in discovery's answer; raise ValueError if none of its entries can be read."""
     entries = answer.get("endpoints")
     if not isinstance(entries, list):
-        raise ValueError("the list is malformed: endpoints must be a list")
+        raise ValueError("the endpoint list is malformed: endpoints must be a list")
     endpoints: list[Endpoint] = []
     malformed: list[str] = []
     for index, entry in enumerate(entries):
@@ -42,20 +44,22 @@
         except MalformedEntryError as error:
             malformed.append(f"endpoints.{index}: {error}")
     if entries and not endpoints:
-        raise ValueError(f"the list is malformed: {malformed[0]}")
+        raise ValueError(f"the endpoint list is malformed: {malformed[0]}")
     is_full = bool(answer.get("snapshot"))
     return EndpointListReceived(tuple(endpoints), is_full, malformed=tuple(malformed[:MAX_REPORTED]))
 
 
 def _read_entry(entry: object, malformed: list[str]) -> Endpoint:
-    """Return the endpoint of an entry; a malformed field is added to `malformed` and gets its default."""
+    """Return the endpoint that an entry describes.
+
+    A malformed field gets its default value and is reported in `malformed`."""
     if not isinstance(entry, dict):
-        raise MalformedEntryError("is no object")
+        raise MalformedEntryError("must be an object")
     name, status = entry.get("name"), entry.get("status")
     if not isinstance(name, str) or not name:
-        raise MalformedEntryError("name is missing")
+        raise MalformedEntryError("name must be a non-empty string")
     if not isinstance(status, str):
-        raise MalformedEntryError(f"status of {name} is missing")
+        raise MalformedEntryError(f"status of {name} must be a string")
     fields = _EntryFields(name, entry, malformed)
     start_ms = fields.start_ms()
     address = fields.address()
@@ -76,13 +80,13 @@
 
 
 class _EntryFields:
-    """The fields of one entry; what is malformed is added to a list of problems."""
+    """Reads the fields of one endpoint list entry, and reports the malformed ones in a list."""
 
     def __init__(self, name: str, entry: Mapping[str, Any], malformed: list[str]) -> None:
         self._name, self._entry, self._malformed = name, entry, malformed
 
     def text(self, key: str) -> str:
-        """Return a text, empty where there is none."""
+        """Return a string field; report any other type and return an empty string."""
         value = self._entry.get(key)
         if isinstance(value, str):
             return value
@@ -90,7 +94,7 @@
         return ""
 
     def number(self, key: str, default: float) -> float:
-        """Return a finite number, or its default."""
+        """Return a finite number; report any other value and return the default."""
         value: object = self._entry.get(key, default)
         if isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value):
             return value
@@ -98,7 +102,7 @@
         return default
 
     def address(self) -> str:
-        """Return the HOST:PORT, empty where there is none."""
+        """Return the endpoint's HOST:PORT; report a malformed address and return an empty string."""
         address = self.text("address")
         if not isinstance(self._entry.get("address"), str) or _is_address(address):
             return address
@@ -106,18 +110,20 @@
         return ""
 
     def start_ms(self) -> object:
-        """Return the start time as it is written; a malformed one counts as a start of just now."""
+        """Return the start time as received, and report a malformed one.
+
+        `parse_start_time` treats a malformed start time as a start at the present moment."""
         value: object = self._entry.get("since_ms", 0)
         if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
             self._report("since_ms", value)
         return value
 
     def _report(self, key: str, value: object) -> None:
-        """Add a field to the problems."""
+        """Add a malformed field and its value to the reported problems."""
         self._malformed.append(f"{self._name}.{key}: {value!r}")
 
 
 def _is_address(text: str) -> bool:
-    """Return whether a text is HOST:PORT."""
+    """Return whether a string has the form HOST:PORT."""
     match = ADDRESS.fullmatch(text)
     return match is not None and int(match[1]) in PORTS
--- a/llm_router/frontends/request_handling.py
+++ b/llm_router/frontends/request_handling.py
@@ -1,4 +1,4 @@
-"""Steps that the front ends share on a client's request."""
+"""Request handling steps that all frontends share."""
 
 from __future__ import annotations
 
@@ -13,28 +13,31 @@
 from llm_router.transport.responses import RESPONSE_MARGIN
 from llm_router.transport.runtime import Runtime
 
-MAX_KEY_LENGTH = 256  # characters of a session or prefix: the routing policy keeps them for minutes
-NO_TIME = timedelta()
+# Maximum characters of a session or prefix key: the routing policy keeps the keys in memory for minutes.
+MAX_KEY_LENGTH = 256
+ZERO_DURATION = timedelta()
 
 
 class InvalidRequestError(Exception):
-    """A client's request that cannot be read; the message names the header or parameter at fault."""
+    """Raised for a malformed client request; the message names the invalid header or parameter."""
 
 
-def usable_time(time_remaining: timedelta) -> timedelta:
-    """Return how long the router may work on a request that its client waits for so long."""
-    return max(NO_TIME, time_remaining - RESPONSE_MARGIN)
+def subtract_response_margin(time_remaining: timedelta) -> timedelta:
+    """Return the client's time remaining less the time that the router needs to send its answer."""
+    return max(ZERO_DURATION, time_remaining - RESPONSE_MARGIN)
 
 
-def after_queueing(received: RequestReceived, queueing_delay: timedelta) -> RequestReceived:
-    """Return the request with less time remaining: nothing may work on for longer than the client waits."""
-    return replace(received, time_remaining=max(NO_TIME, received.time_remaining - queueing_delay))
+def subtract_queueing_delay(received: RequestReceived, queueing_delay: timedelta) -> RequestReceived:
+    """Return the request with the queueing delay subtracted from its time remaining.
+
+    The router and the endpoints must not work on a request for longer than its client waits."""
+    return replace(received, time_remaining=max(ZERO_DURATION, received.time_remaining - queueing_delay))
 
 
 async def run_request(runtime: Runtime, request: ProxiedRequest) -> web.StreamResponse:
-    """Pass a request to the lifecycle and return the final answer.
+    """Pass a request to the lifecycle and return its final answer.
 
-    The handler's cancellation means that the client has disconnected."""
+    The server cancels this coroutine when the client disconnects."""
     request_id = request.received.request_id
     runtime.proxied_requests[request_id] = request
     try:
--- a/tests/frontends/test_platform_limits.py
+++ b/tests/frontends/test_platform_limits.py
@@ -43,7 +43,7 @@
             requests = [chat_request(id=f"r{n}", time_remaining_ms=3000, body=body) for n in range(120)]
             answers = await asyncio.gather(*map(program.exchange, requests))
             assert {first.split()[1] for first, _, _ in answers} == {"503"}
-            assert sum(body == b"too much at once\n" for _, _, body in answers) >= 120 - 48
+            assert sum(body == b"the router is overloaded\n" for _, _, body in answers) >= 120 - 48
             with open(f"/proc/{program.process.pid}/status") as status:
                 peak = next(int(line.split()[1]) for line in status if line.startswith("VmHWM"))
             assert peak < 96 * 1024, "kilobytes, at its peak"
