--- a/llm_router/configuration/__init__.py
+++ b/llm_router/configuration/__init__.py
@@ -1,7 +1,7 @@
 """Loads the configuration of a router instance.
 
-`schema` has the types and `section` the checked reads; `platform` and `standalone` read one form of file each
-with what stands in `common`, and `loading` chooses between them."""
+`schema` defines the types, and `section` reads and checks single keys. `platform` and `standalone` each parse
+one file format and share `common`. `loading` selects the format."""
 
 from llm_router.configuration.loading import load_configuration
 from llm_router.configuration.platform import platform_configuration
--- a/llm_router/configuration/common.py
+++ b/llm_router/configuration/common.py
@@ -1,4 +1,4 @@
-"""Reads the sections that the platform's file and the standalone file have in common."""
+"""Parses the sections that occur in both the platform's file and the standalone file."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def read_policy_settings(section: Section) -> Settings:
-    """Return the routing policy's settings, whose names and units are the simulator's.
+    """Return the routing policy's settings, which have the same names and units as in the simulator.
 
-    Raise ConfigurationError for a setting that cannot be read or is impossible."""
+    Raise ConfigurationError for a malformed or inconsistent setting."""
     try:
         return read_settings(Fields(dict(flatten(section.values))))
     except (FieldError, ValueError) as error:
@@ -22,7 +22,7 @@
 
 
 def read_limits(section: Section) -> ResourceLimits:
-    """Return the resource limits."""
+    """Return the resource limits in a section, with defaults for absent keys."""
     return ResourceLimits(
         memory_bytes=section.integer("memory_mb", default=192, minimum=32) * MEGABYTE,
         sockets=section.integer("sockets", default=1024, minimum=64),
@@ -30,9 +30,9 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yield the names and values of nested settings as the simulator writes them.
+    """Yield nested settings as pairs of a dotted name and a string, the simulator's format.
 
-    An object's keys are joined by points; a list of objects is a `count` and an object for each index."""
+    A list of objects becomes a `count` and one object for each index."""
     if isinstance(value, dict):
         for key, item in value.items():
             yield from flatten(item, f"{path}.{key}" if path else key)
--- a/llm_router/configuration/loading.py
+++ b/llm_router/configuration/loading.py
@@ -1,4 +1,4 @@
-"""Loads the configuration that the command line and the environment name."""
+"""Loads the configuration from the file that the command line or the environment names."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 def load_configuration(
     environ: Mapping[str, str], standalone_file: Path | None = None, *, is_reload: bool = False
 ) -> RouterConfig:
-    """Return the standalone file's configuration where one is given, the platform's otherwise.
+    """Return the configuration from a standalone file if one is given, else from the platform's file.
 
-    Raise ConfigurationError for what cannot be read. A reload takes its reloadable keys from the file alone:
-    the environment is as old as the process, and must not hide the file's new address of discovery."""
+    Environment variables override keys of the platform's file. A reload ignores them for reloadable keys: the
+    environment dates from the process start and would hide a new discovery address in the file.
+    Raise ConfigurationError for an unreadable file or an invalid key."""
     if standalone_file is not None:
         return standalone_configuration(standalone_file)
     values = _read_platform_file(environ)
@@ -32,7 +33,7 @@
 
 
 def _read_platform_file(environ: Mapping[str, str]) -> dict[str, object]:
-    """Return the object in the file that the environment names."""
+    """Return the JSON object in the configuration file that the environment names."""
     try:
         values = orjson.loads(Path(environ.get(CONFIGURATION_FILE, "")).read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
--- a/llm_router/configuration/platform.py
+++ b/llm_router/configuration/platform.py
@@ -1,4 +1,4 @@
-"""Reads the JSON configuration that the platform passes to a router instance."""
+"""Parses the JSON configuration that the platform passes to a router instance."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def platform_configuration(values: dict[str, object]) -> RouterConfig:
-    """Return the checked configuration; raise ConfigurationError for the first key at fault."""
+    """Return the checked configuration; raise ConfigurationError for the first invalid key."""
     root = Section(values)
     settings = root.section("settings", required=True)
     allowed = settings.section("allowed")
@@ -29,5 +29,5 @@
 
 
 def _nanoseconds(section: Section, key: str, default: int) -> timedelta:
-    """Return a time that is written in nanoseconds."""
+    """Return the duration that a key gives in nanoseconds."""
     return timedelta(microseconds=section.integer(key, default=default, minimum=1) / 1000)
--- a/llm_router/configuration/schema.py
+++ b/llm_router/configuration/schema.py
@@ -1,4 +1,4 @@
-"""The configuration of a router instance after all checks."""
+"""Types for the checked configuration of a router instance."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from llm_router.routing.settings import Settings
 
 MEGABYTE = 1 << 20
-MAX_BODY_BYTES = 256 * 1024  # the protocol's bound on a body
-BASELINE_MEMORY = 52 * MEGABYTE  # what the program takes with no request open, measured at 48
-MAX_RESERVED_SOCKETS = (
-    64  # enough for discovery, the log and rejected clients, however many sockets there are
-)
+MAX_BODY_BYTES = 256 * 1024  # maximum size of a request body in both client protocols
+# The process uses 48 MB without open requests; the rest is a margin.
+BASELINE_MEMORY = 52 * MEGABYTE
+# Discovery, the log and rejected clients need no more sockets than this, even under a high socket limit.
+MAX_RESERVED_SOCKETS = 64
 
 
 class ConfigurationError(Exception):
-    """A configuration that cannot be used; the message starts with the key or the file at fault."""
+    """Raised for an invalid configuration; the message starts with the invalid key or file."""
 
 
 class HostAndPort(NamedTuple):
-    """An address of TCP; an IPv6 host is without brackets."""
+    """A TCP address; an IPv6 host has no brackets."""
 
     host: str
     port: int
@@ -41,34 +41,38 @@
 
 @dataclass(slots=True, frozen=True)
 class ResourceLimits:
-    """What the process may use: bytes of memory, and sockets."""
+    """Upper limits on the memory and the sockets of the process."""
 
     memory_bytes: int
     sockets: int
 
     @property
     def reserved_sockets(self) -> int:
-        """Descriptors for all else: discovery, the log, and clients that are rejected."""
+        """Number of sockets reserved for discovery, the log and clients that are rejected."""
         return min(MAX_RESERVED_SOCKETS, self.sockets // 4)
 
     @property
     def client_sockets(self) -> int:
-        """Client connections: at most a third, as a request may need two to endpoints."""
+        """Maximum number of client connections.
+
+        It is a third of all sockets because a request may need two connections to endpoints."""
         return self.sockets // 3
 
     @property
     def rejected_clients(self) -> int:
-        """Client connections over that bound that are open until they have got their rejection."""
+        """Maximum number of connections over `client_sockets` that are open to receive a rejection."""
         return self.reserved_sockets // 2
 
     @property
     def upstream_sockets(self) -> int:
-        """Connections to endpoints, idle ones included."""
+        """Maximum number of connections to endpoints, including idle connections."""
         return self.sockets - self.client_sockets - self.reserved_sockets
 
     @property
     def body_memory(self) -> int:
-        """Bytes of request bodies held at once, which count twice for the copies on their way out."""
+        """Maximum number of bytes of request bodies in memory.
+
+        Each body takes twice its size, because it is copied when it is sent to an endpoint."""
         return max(
             8 * MAX_BODY_BYTES, min(self.memory_bytes // 8, (self.memory_bytes - BASELINE_MEMORY) // 4)
         )
@@ -78,7 +82,7 @@
 class RouterConfig:
     """The configuration of one router instance.
 
-    With `discovery` it serves the platform's protocol, with `xds_files` KServe v2."""
+    With `discovery` the instance serves the platform's protocol, with `xds_files` it serves KServe v2."""
 
     name: str
     listen: HostAndPort
@@ -86,22 +90,25 @@
     seed: int
     limits: ResourceLimits
     discovery: HostAndPort | None = None
-    initial_endpoints: Mapping[str, object] = field(
-        default_factory=dict
-    )  # an endpoint list of discovery's form
+    # Endpoint list in discovery's JSON format, used until discovery answers.
+    initial_endpoints: Mapping[str, object] = field(default_factory=dict)
     connect_timeout: timedelta = timedelta(milliseconds=250)
-    idle_timeout: timedelta = timedelta(seconds=15)  # after which endpoints close idle connections
+    # Endpoints close a connection that has been idle for this time.
+    idle_timeout: timedelta = timedelta(seconds=15)
     max_open_requests: int = 20_000
-    idempotency_capacity: int = 50_000  # idempotency keys that are remembered
+    idempotency_capacity: int = 50_000  # maximum number of stored idempotency keys
+    # The router stores an idempotency key for this time.
     idempotency_retention: timedelta = timedelta(minutes=10)
     xds_files: XdsFiles | None = None
 
     def changes_requiring_restart(self, new: RouterConfig) -> list[str]:
-        """Return the fields of a reloaded configuration that differ and wait for the next start."""
+        """Return the names of the changed fields that take effect at the next start, not on a reload."""
         names = (each.name for each in fields(self))
-        waiting = (name for name in names if name not in RELOADED_FIELDS | IGNORED_BY_RELOAD)
-        return [name for name in waiting if getattr(self, name) != getattr(new, name)]
+        restart_fields = (name for name in names if name not in RELOADED_FIELDS | IGNORED_BY_RELOAD)
+        return [name for name in restart_fields if getattr(self, name) != getattr(new, name)]
 
 
-RELOADED_FIELDS = frozenset({"discovery", "xds_files", "limits"})  # what a reload puts in force
-IGNORED_BY_RELOAD = frozenset({"seed", "initial_endpoints"})  # new with each start, and of no use to a reload
+# A reload applies new values of these fields.
+RELOADED_FIELDS = frozenset({"discovery", "xds_files", "limits"})
+# These fields differ at each start and are used only at the start, so a reload ignores changes to them.
+IGNORED_BY_RELOAD = frozenset({"seed", "initial_endpoints"})
--- a/llm_router/configuration/standalone.py
+++ b/llm_router/configuration/standalone.py
@@ -1,4 +1,4 @@
-"""Reads the TOML configuration of a standalone router, which serves KServe v2 beside an application."""
+"""Parses the TOML configuration of a standalone router, which serves KServe v2 beside one application."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def standalone_configuration(path: Path) -> RouterConfig:
-    """Return a file's checked configuration; relative paths in it count from its folder.
+    """Return the checked configuration in a file; paths in the file are relative to its folder.
 
-    Raise ConfigurationError for a file that cannot be read, or for the first key at fault."""
+    Raise ConfigurationError for an unreadable file or for the first invalid key."""
     try:
         root = Section(tomllib.loads(path.read_text()))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -38,5 +38,5 @@
 
 
 def _milliseconds(section: Section, key: str, default: int) -> timedelta:
-    """Return a time that is written in milliseconds."""
+    """Return the duration that a key gives in milliseconds."""
     return timedelta(milliseconds=section.integer(key, default=default, minimum=1))
