--- a/llm_router/xds/__init__.py
+++ b/llm_router/xds/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint lists from files in Envoy's xDS v3 JSON: clusters and their load assignments."""
+"""Reads endpoint lists from files with clusters and load assignments in Envoy's xDS v3 JSON format."""
--- a/llm_router/xds/resources.py
+++ b/llm_router/xds/resources.py
@@ -1,4 +1,4 @@
-"""Reads endpoint lists from the clusters and load assignments of xDS v3 JSON."""
+"""Parses clusters and load assignments in xDS v3 JSON into endpoint lists."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from llm_router.lifecycle.start_times import parse_start_time
 from llm_router.routing.events import EndpointStatus
 
-# Our key in `filter_metadata` keeps the program's first name: deployed files use it.
+# Key of the router's own values in `filter_metadata`; deployed files use this name.
 METADATA_KEY = "hoplane"
 CLUSTER_TYPE = "Cluster"
 LOAD_ASSIGNMENT_TYPE = "ClusterLoadAssignment"
 MAX_PORT = 65535
-# An endpoint that is not healthy gets no new requests, and finishes those it has.
+# An unhealthy endpoint gets no new requests and finishes its running requests.
 HEALTH_STATUSES = {
     "UNKNOWN": EndpointStatus.READY,
     "HEALTHY": EndpointStatus.READY,
@@ -33,11 +33,11 @@
 
 
 class XdsFormatError(Exception):
-    """A resource that cannot be used; the message names its place in the file."""
+    """Raised for an invalid xDS resource; the message names its path in the file."""
 
 
 class XdsFileError(Exception):
-    """A file that cannot be used, and what is wrong with it."""
+    """Raised for an xDS file that cannot be read or is invalid; `problem` is the reason."""
 
     def __init__(self, file: Path, problem: str) -> None:
         super().__init__(f"{file.name}: {problem}")
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Cluster:
-    """A cluster, whose name is the model's; its metadata counts for each endpoint without its own."""
+    """An xDS cluster: its name is the model's name, and its metadata is the default for its endpoints."""
 
     name: str
     metadata: Mapping[str, Any]
 
 
 def load_endpoint_lists(files: XdsFiles) -> dict[str, EndpointListReceived]:
-    """Return the full endpoint list of each cluster by name; raise XdsFileError that names the file."""
+    """Return each cluster's full endpoint list by cluster name; raise XdsFileError for an invalid file."""
     file = files.clusters
     try:
         clusters = read_clusters(file.read_bytes())
@@ -64,7 +64,7 @@
 
 
 def read_clusters(text: bytes) -> dict[str, Cluster]:
-    """Return the clusters by the name that load assignments call them."""
+    """Return the clusters by the service name that load assignments use for them."""
     clusters = {}
     for index, resource in enumerate(_read_resources(text, CLUSTER_TYPE)):
         name = _field(resource, "name")
@@ -77,9 +77,9 @@
 
 
 def read_load_assignments(text: bytes, clusters: Mapping[str, Cluster]) -> dict[str, EndpointListReceived]:
-    """Return each cluster's endpoints by the cluster's name, none where it has no load assignment.
+    """Return the endpoint list of each cluster by cluster name.
 
-    A load assignment of no cluster is ignored."""
+    A cluster without load assignment has an empty list. Load assignments of unknown clusters are ignored."""
     lists = {cluster.name: EndpointListReceived((), is_full=True) for cluster in clusters.values()}
     for index, resource in enumerate(_read_resources(text, LOAD_ASSIGNMENT_TYPE)):
         cluster = clusters.get(_field(resource, "cluster_name"))
@@ -91,7 +91,7 @@
 
 
 def _read_load_assignment(resource: object, cluster: Cluster, path: str) -> tuple[Endpoint, ...]:
-    """Return the endpoints of one load assignment, over all its localities."""
+    """Return the endpoints in all localities of one load assignment."""
     endpoints = []
     for locality_index, locality in enumerate(_field(resource, "endpoints", [])):
         for index, lb_endpoint in enumerate(_field(locality, "lb_endpoints", [])):
@@ -99,7 +99,7 @@
             endpoints.append(_read_endpoint(lb_endpoint, locality, cluster, endpoint_path))
     names = {endpoint.name for endpoint in endpoints}
     if len(names) < len(endpoints):
-        raise XdsFormatError(f"{path}: two endpoints share a name")
+        raise XdsFormatError(f"{path}: two endpoints have the same name")
     return tuple(endpoints)
 
 
@@ -108,7 +108,7 @@
     address = _read_address(lb_endpoint, path)
     health = _field(lb_endpoint, "health_status", "UNKNOWN")
     if health not in HEALTH_STATUSES:
-        raise XdsFormatError(f"{path}.health_status: {health!r} is not known")
+        raise XdsFormatError(f"{path}.health_status: {health!r} is not a known status")
     own_metadata = _field_at(lb_endpoint, "metadata", "filter_metadata", METADATA_KEY) or {}
     metadata = {**cluster.metadata, **own_metadata}
     if not isinstance(metadata.get("kind"), str):
@@ -135,17 +135,19 @@
 
 
 def _read_address(lb_endpoint: object, path: str) -> str:
-    """Return an LbEndpoint's HOST:PORT."""
+    """Return the HOST:PORT of an LbEndpoint, with brackets around an IPv6 host."""
     socket = _field_at(lb_endpoint, "endpoint", "address", "socket_address")
     host = _field(socket, "address") if socket else None
     port = _field(socket, "port_value") if socket else None
     if not isinstance(host, str) or not isinstance(port, int) or not 0 < port <= MAX_PORT:
-        raise XdsFormatError(f"{path}.endpoint.address.socket_address: address and port_value are needed")
+        raise XdsFormatError(f"{path}.endpoint.address.socket_address: address and port_value are required")
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def _read_resources(text: bytes, resource_type: str) -> list[dict[str, Any]]:
-    """Return a file's resources, all of one type: a DiscoveryResponse, a list or a single resource."""
+    """Return the resources in a file.
+
+    The file holds a DiscoveryResponse, a list or a single resource. All of them must have the given type."""
     try:
         document = orjson.loads(text)
     except orjson.JSONDecodeError as error:
@@ -155,19 +157,19 @@
     if not isinstance(document, list) or not all(isinstance(resource, dict) for resource in document):
         raise XdsFormatError("resources: must be a list of objects")
     if not all(str(resource.get("@type", resource_type)).endswith(resource_type) for resource in document):
-        raise XdsFormatError(f"@type: all must be {resource_type}")
+        raise XdsFormatError(f"@type: all resources must be of type {resource_type}")
     return document
 
 
 def _field(value: object, name: str, default: object = None) -> Any:  # noqa: ANN401 - JSON of any type
-    """Return an object's field in either spelling, snake_case or camelCase: proto3 JSON is read in both."""
+    """Return a field of a JSON object by its snake_case or its camelCase name; proto3 JSON allows both."""
     if not isinstance(value, dict):
-        raise XdsFormatError(f"{name}: is not in an object")
+        raise XdsFormatError(f"{name}: the enclosing value must be an object")
     return value.get(name, value.get(_camel_case(name), default))
 
 
 def _field_at(value: object, *names: str) -> Any:  # noqa: ANN401 - JSON of any type
-    """Return a field some objects deep, None where one of them is absent."""
+    """Return a nested field of a JSON object, or None if a field on the path is absent."""
     for name in names:
         value = _field(value, name)
         if value is None:
@@ -176,6 +178,6 @@
 
 
 def _camel_case(name: str) -> str:
-    """Return a snake_case name in camelCase."""
+    """Return the camelCase form of a snake_case name."""
     first, *others = name.split("_")
     return first + "".join(word.capitalize() for word in others)
--- a/llm_router/xds/watch.py
+++ b/llm_router/xds/watch.py
@@ -1,4 +1,4 @@
-"""Watches a file of clusters and a file of endpoints for changes."""
+"""Watches the xDS file of clusters and the xDS file of endpoints for changes."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 from llm_router.lifecycle.events import EndpointListReceived
 from llm_router.xds.resources import XdsFileError, load_endpoint_lists
 
-POLL_INTERVAL = timedelta(milliseconds=200)  # a drain must count within 1 s
+# A drain in the files must take effect within 1 s.
+POLL_INTERVAL = timedelta(milliseconds=200)
 EMPTY_LIST = EndpointListReceived((), is_full=True)
 
-ListListener = Callable[[str, EndpointListReceived], None]  # is given a cluster's name and its endpoint list
+# A callback that receives the name of a cluster and its endpoint list.
+EndpointListCallback = Callable[[str, EndpointListReceived], None]
 
 
 class FileVersion(NamedTuple):
-    """What changes when a file does; a replaced file has another inode."""
+    """File metadata that shows whether a file was changed; a replaced file has another inode."""
 
     modified_ns: int
     size: int
@@ -30,33 +32,34 @@
 
 
 class XdsFileWatch:
-    """Polls two xDS files and passes on each cluster's endpoint list when it changes.
+    """Polls two xDS files and calls a callback with each endpoint list that changed.
 
-    While the files are invalid the last valid lists stay: an empty fleet would be worse than an old one."""
+    While the files are invalid, the last valid lists stay in use: with empty lists the router could serve no
+    request."""
 
-    def __init__(self, files: XdsFiles, listener: ListListener) -> None:
-        self.files, self.listener = files, listener
-        self._versions: list[FileVersion | None] | None = None  # of both files, when they were read last
-        self._lists: Mapping[str, EndpointListReceived] = {}  # as passed on last
-        self._checked_at: float | None = (
-            None  # monotonic seconds of the last valid read, or check that found no change
-        )
+    def __init__(self, files: XdsFiles, callback: EndpointListCallback) -> None:
+        self.files, self.callback = files, callback
+        # Versions of both files when they were last read.
+        self._versions: list[FileVersion | None] | None = None
+        self._lists: Mapping[str, EndpointListReceived] = {}  # Last valid list of each cluster.
+        # Monotonic time in seconds of the last valid read, or of the last check that found no change.
+        self._checked_at: float | None = None
 
     def __str__(self) -> str:
         return ", ".join(file.name for file in self.files)
 
     def reconfigured(self, config: RouterConfig) -> XdsFileWatch:
-        """Return the watch of a reloaded configuration, which knows what this one has passed on.
+        """Return a watch for a reloaded configuration; it starts with the endpoint lists of this watch.
 
-        Raise ConfigurationError if its files are invalid."""
-        assert config.xds_files is not None, "the file that is loaded again is a standalone configuration"
-        watch = XdsFileWatch(config.xds_files, self.listener)
+        Raise ConfigurationError if the new files are invalid."""
+        assert config.xds_files is not None, "a standalone configuration has xds_files"
+        watch = XdsFileWatch(config.xds_files, self.callback)
         watch._lists, watch._checked_at = self._lists, self._checked_at
         watch.load()
         return watch
 
     def load(self) -> None:
-        """Read the files, which must be valid; raise ConfigurationError if they are not."""
+        """Read the files; raise ConfigurationError if they are invalid."""
         try:
             self._poll()
         except XdsFileError as error:
@@ -69,10 +72,10 @@
             try:
                 self._poll()
             except XdsFileError:
-                continue  # it is logged; the file is read again when it changes
+                continue  # `_poll` has logged the error, and reads the files again when they change.
 
     def _poll(self) -> None:
-        """Read the files if they have changed since the last time, and pass on each list that has."""
+        """Read the files if they have changed, and call the callback with each changed endpoint list."""
         versions = [_file_version(file) for file in self.files]
         if versions == self._versions:
             self._checked_at = time.monotonic()
@@ -86,16 +89,16 @@
         for name in {*lists, *self._lists}:
             endpoint_list = lists.get(name, EMPTY_LIST)
             if self._lists.get(name) != endpoint_list:
-                self.listener(name, replace(endpoint_list, since_last_answer=self._since_check()))
+                self.callback(name, replace(endpoint_list, since_last_answer=self._time_since_check()))
         self._lists, self._checked_at = lists, time.monotonic()
 
-    def _since_check(self) -> timedelta | None:
-        """Return how long ago the files were last checked, None before their first valid read."""
+    def _time_since_check(self) -> timedelta | None:
+        """Return the time since the last check of the files, or None before the first valid read."""
         return None if self._checked_at is None else timedelta(seconds=time.monotonic() - self._checked_at)
 
 
 def _file_version(file: Path) -> FileVersion | None:
-    """Return a file's version, None while it cannot be found."""
+    """Return a file's version, or None if the file is not accessible."""
     try:
         stat = file.stat()
     except OSError:
