--- a/tests/frontends/test_frontend_parity.py
+++ b/tests/frontends/test_frontend_parity.py
@@ -1,4 +1,4 @@
-"""The same faults of an endpoint have equal outcomes on both front ends."""
+"""Check that both frontends answer a client alike after the same endpoint failure."""
 
 import asyncio
 
@@ -61,7 +61,9 @@
     ids=["answer", "error", "close", "hang", "reject", "unavailable"],
 )
 @pytest.mark.parametrize("frontend", ["platform", "kserve"])
-def test_outcomes_are_equal(tmp_path, frontend, handler, lookup, booking):
+def test_an_endpoint_failure_has_the_same_outcome_on_both_frontends(
+    tmp_path, frontend, handler, lookup, booking
+):
     async def test():
         async with StandInServer(handler) as server:
             if frontend == "platform":
@@ -72,17 +74,21 @@
                 start = sidecar(tmp_path, server)
             async with start as program:
                 for cls, code in (("booking", booking), ("lookup", lookup)):
-                    before = len(server.calls)
+                    calls_before = len(server.calls)
                     request = (
                         chat_request("x", cls, 400)
                         if frontend == "platform"
                         else infer_request("x", cls, time_left_ms=400)
                     )
-                    first, headers, _ = await program.exchange(request)
-                    assert int(first.split()[1]) == code
-                    assert ("retry-after" in headers) == (code == 503), "a rejection says when to retry"
+                    status_line, headers, _ = await program.exchange(request)
+                    assert int(status_line.split()[1]) == code
+                    assert ("retry-after" in headers) == (code == 503), (
+                        "rejections, and no other answers, must have a Retry-After header"
+                    )
                     if cls == "booking" and handler is not reject:
-                        assert len(server.calls) - before == 1, "what may have run is sent once"
+                        assert len(server.calls) - calls_before == 1, (
+                            "a request that may have run must not be resent"
+                        )
                 assert await program.stop() == 0
 
     asyncio.run(within(test(), 60))
--- a/tests/frontends/test_kserve.py
+++ b/tests/frontends/test_kserve.py
@@ -1,4 +1,4 @@
-"""The KServe v2 front end between stand-in v2 clients and servers."""
+"""Check the KServe v2 frontend with stand-in clients and endpoints."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 
 async def serve(_call, writer):
-    """Answer as a v2 server does."""
+    """Answer an inference request like a KServe v2 endpoint."""
     writer.write(message("HTTP/1.1 200 OK", ANSWER, Content_Type="application/json"))
 
 
@@ -23,7 +23,7 @@
     writer.close()
 
 
-async def close_mid_response_of_unstated_length(_call, writer):
+async def close_mid_response_without_content_length(_call, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + ANSWER[:-20])
     await writer.drain()
     writer.close()
@@ -34,7 +34,7 @@
 
 
 class SwitchableHandler:
-    """A handler that a test can replace while its server runs."""
+    """A handler that a test can replace while the stand-in endpoint runs."""
 
     def __init__(self, handler):
         self.current = handler
@@ -96,12 +96,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("handler", [close_mid_response, close_mid_response_of_unstated_length])
-def test_a_server_that_closes_mid_response(tmp_path, handler):
+@pytest.mark.parametrize("handler", [close_mid_response, close_mid_response_without_content_length])
+def test_a_response_that_its_endpoint_closes_early_is_an_error_and_is_not_resent(tmp_path, handler):
     async def test():
         async with StandInServer(handler) as bad, sidecar(tmp_path, bad) as program:
             assert await status(program, infer_request(request_id="b1")) == 502
-            assert await status(program, infer_request(request_id="b1")) == 409, "it may have run"
+            assert await status(program, infer_request(request_id="b1")) == 409, (
+                "the first request may have run"
+            )
             assert len(bad.calls) == 1
             async with StandInServer(serve) as good:
                 program.endpoints_file.write_text(
@@ -125,14 +127,18 @@
         async with StandInServer(wait) as server, sidecar(tmp_path, server) as program:
             first = asyncio.ensure_future(status(program, infer_request(request_id="b1")))
             await server.wait_for("POST")
-            assert await status(program, infer_request(request_id="b1")) == 409, "it is running"
+            assert await status(program, infer_request(request_id="b1")) == 409, (
+                "the first request is running"
+            )
             resume.set()
             assert await first == 200
-            assert await status(program, infer_request(request_id="b1", repeat=True)) == 409, "it has run"
+            assert await status(program, infer_request(request_id="b1", repeat=True)) == 409, (
+                "the first request has run"
+            )
             assert await status(program, infer_request(request_id="b2")) == 200
             assert await status(program, infer_request(request_id="s", cls="lookup")) == 200
             assert await status(program, infer_request(request_id="s", cls="lookup")) == 200, (
-                "an idempotent one may run twice"
+                "an idempotent request may run twice"
             )
             assert len(server.calls) == 4
 
@@ -177,7 +183,7 @@
     run(test())
 
 
-def test_drains_and_invalid_files(tmp_path):
+def test_a_drain_takes_effect_within_1_s_and_an_invalid_file_is_ignored(tmp_path):
     async def test():
         async with (
             StandInServer(serve) as old,
@@ -186,13 +192,15 @@
         ):
             program.endpoints_file.write_text('{"resources": [')
             assert "endpoints.json" in (await program.wait_for_log("xds_files_invalid"))["file"]
-            assert await status(program, infer_request(request_id="b1")) == 200, "the last good list stays"
+            assert await status(program, infer_request(request_id="b1")) == 200, (
+                "the last valid list stays in use"
+            )
             program.endpoints_file.write_text(
                 load_assignment((old.address, "DRAINING"), (new.address, "HEALTHY"))
             )
-            before = asyncio.get_running_loop().time()
+            written_at = asyncio.get_running_loop().time()
             await program.wait_for_log("endpoint_list_updated")
-            assert asyncio.get_running_loop().time() - before < 1
+            assert asyncio.get_running_loop().time() - written_at < 1
             for number in range(5):
                 assert await status(program, infer_request(request_id=f"c{number}")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 5
@@ -207,18 +215,16 @@
             StandInServer(serve) as new,
             sidecar(tmp_path, old) as program,
         ):
-            text = program.file.read_text()
+            configuration = program.file.read_text()
             other = tmp_path / "xds/other.json"
             other.write_text("{")
-            program.reload(text.replace("endpoints.json", "other.json"))
+            program.reload(configuration.replace("endpoints.json", "other.json"))
             assert "other.json" in (await program.wait_for_log("configuration_reload_failed"))["error"]
             assert await status(program, infer_request(request_id="b1")) == 200
             other.write_text(load_assignment((new.address, "HEALTHY")))
-            program.reload(text.replace("endpoints.json", "other.json"))
+            program.reload(configuration.replace("endpoints.json", "other.json"))
             assert "other.json" in (await program.wait_for_log("configuration_reloaded"))["watch"]
-            assert await status(program, infer_request(request_id="b1")) == 409, (
-                "the idempotency registry goes on"
-            )
+            assert await status(program, infer_request(request_id="b1")) == 409, "idempotency keys are kept"
             assert await status(program, infer_request(request_id="b2")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 1
 
--- a/tests/frontends/test_malformed_lists.py
+++ b/tests/frontends/test_malformed_lists.py
@@ -1,4 +1,4 @@
-"""A malformed entry leaves the others of its list valid, and what can be read of it counts."""
+"""Check that a malformed entry does not invalidate its list, and that its readable fields are used."""
 
 from datetime import timedelta
 
@@ -12,10 +12,10 @@
 from llm_router.lifecycle.start_times import MAX_START_TIME, NO_START_TIME, parse_start_time
 from llm_router.routing.events import EndpointStatus
 
-GOOD = registry_entry("good", "127.0.0.1:1", "prefill")
+VALID_ENTRY = registry_entry("good", "127.0.0.1:1", "prefill")
 
 
-def listed(*entries):
+def read_full_list(*entries):
     return read_list({"index": 1, "snapshot": True, "endpoints": list(entries)})
 
 
@@ -50,7 +50,7 @@
     ],
 )
 def test_an_entry_with_a_malformed_field_is_accepted(changes):
-    endpoint_list = listed(GOOD, {**GOOD, "name": "malformed", **changes})
+    endpoint_list = read_full_list(VALID_ENTRY, {**VALID_ENTRY, "name": "malformed", **changes})
     assert [each.name for each in endpoint_list.endpoints] == ["good", "malformed"]
     assert all(each.address and each.kind for each in endpoint_list.endpoints)
 
@@ -59,7 +59,7 @@
     "entry", [5, None, {}, {"name": "x"}, {"name": "", "status": "Ready"}, {"status": "Ready"}]
 )
 def test_an_entry_without_name_or_status_leaves_the_others(entry):
-    endpoint_list = listed(entry, GOOD)
+    endpoint_list = read_full_list(entry, VALID_ENTRY)
     assert [each.name for each in endpoint_list.endpoints] == ["good"]
     assert len(endpoint_list.malformed) == 1
 
@@ -68,7 +68,7 @@
     "address", ["", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:70000", "a b:1", "h:1/x", 5, None]
 )
 def test_a_malformed_address_is_empty(address):
-    endpoint_list = listed(GOOD, {**GOOD, "name": "malformed", "address": address})
+    endpoint_list = read_full_list(VALID_ENTRY, {**VALID_ENTRY, "name": "malformed", "address": address})
     assert endpoint_list.endpoints[1].address == "" and endpoint_list.malformed
 
 
--- a/tests/frontends/test_platform_endpoint_list.py
+++ b/tests/frontends/test_platform_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list on the platform: drains, and discovery that is lost."""
+"""Check how the router follows discovery: drains, lost connections and a start without discovery."""
 
 import pytest
 from stand_ins import (
@@ -53,8 +53,8 @@
 @pytest.mark.parametrize("silent", [True, False], ids=["silent", "refused"])
 def test_a_router_serves_from_the_initial_endpoints_while_discovery_is_down(tmp_path, silent):
     async def test():
-        async with StandInServer(hang) as agent:
-            unreachable = agent.address if silent else f"127.0.0.1:{free_port()}"
+        async with StandInServer(hang) as silent_discovery:
+            unreachable = silent_discovery.address if silent else f"127.0.0.1:{free_port()}"
             async with router_with_endpoints(tmp_path, discovery=unreachable) as program:
                 answer = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
                 assert answer[0].endswith("200 OK")
--- a/tests/frontends/test_platform_failures.py
+++ b/tests/frontends/test_platform_failures.py
@@ -1,4 +1,4 @@
-"""Failures, deadlines and client disconnects on the platform's protocol."""
+"""Check failures, deadlines and client disconnects in the platform's protocol."""
 
 import asyncio
 
@@ -35,7 +35,7 @@
             writer.write(chat_request())
             received = await within(reader.read())
             assert EVENT in received and not received.endswith(b"0\r\n\r\n")
-            assert len(program.decode_server.named("POST /v1/chat")) == 1, "nothing further is sent"
+            assert len(program.decode_server.named("POST /v1/chat")) == 1, "the request must not be resent"
 
     run(test())
 
@@ -47,7 +47,7 @@
     async def fail_once(call, writer):
         if call[0].startswith("POST /v1/chat") and not failed:
             failed.append(call)
-            writer.close()  # the request had arrived: it may have run
+            writer.close()  # The endpoint has received the request, so it may have run.
         else:
             await decode(call, writer)
 
@@ -103,7 +103,7 @@
             before = clock()
             first, headers, _ = await program.exchange(chat_request(time_remaining_ms=9000))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
-            assert clock() - before < 3, "long before its deadline"
+            assert clock() - before < 3, "the rejection must not wait for the deadline"
 
     run(test())
 
@@ -125,7 +125,7 @@
     ],
     ids=["many requests", "large bodies"],
 )
-def test_a_client_disconnect_is_noticed_pipelined_pipelined_bytes(tmp_path, pipelined):
+def test_a_client_disconnect_is_noticed_behind_pipelined_bytes(tmp_path, pipelined):
     async def test():
         async with router_with_endpoints(tmp_path, prefill=never_prefill, decode=hang) as program:
             _, client = await program.connect()
@@ -140,7 +140,9 @@
             posts = program.prefill_server.named("POST /v1/chat") + program.decode_server.named(
                 "POST /v1/chat"
             )
-            assert {call[1]["x-correlation-id"] for call in posts} == {"r1"}, "nothing more is sent for it"
+            assert {call[1]["x-correlation-id"] for call in posts} == {"r1"}, (
+                "pipelined requests must not reach an endpoint"
+            )
             assert not await program.stop_and_read_internal_errors()
 
     run(test())
--- a/tests/frontends/test_platform_limits.py
+++ b/tests/frontends/test_platform_limits.py
@@ -1,4 +1,4 @@
-"""The platform's front end stays within its limits on connections and memory."""
+"""Check that the platform's frontend stays within its connection and memory limits."""
 
 import asyncio
 import os
@@ -22,7 +22,7 @@
             idle_writer.write(message("GET /health/ready HTTP/1.1", Host="h"))
             assert (await within(read_message(idle)))[0].split()[1] == "200"
             active = []
-            for number in range(21):  # the last one replaces the idle one
+            for number in range(21):  # The last connection replaces the idle one.
                 reader, writer = await program.connect()
                 head = chat_request(id=f"r{number}").partition(b"\r\n\r\n")[0]
                 writer.write(head + b"\r\nExpect: 100-continue\r\n\r\n")
@@ -46,7 +46,7 @@
             assert sum(body == b"the router is overloaded\n" for _, _, body in answers) >= 120 - 48
             with open(f"/proc/{program.process.pid}/status") as status:
                 peak = next(int(line.split()[1]) for line in status if line.startswith("VmHWM"))
-            assert peak < 96 * 1024, "kilobytes, at its peak"
+            assert peak < 96 * 1024, "peak memory in KiB"
             assert await program.stop() == 0
 
     run(test())
@@ -56,9 +56,11 @@
     sockets = 96
 
     async def test():
-        async with StandInServer(hang) as agent:
+        async with StandInServer(hang) as silent_discovery:
             limits = {"memory_mb": 192, "sockets": sockets}
-            async with router_with_endpoints(tmp_path, discovery=agent.address, limits=limits) as program:
+            async with router_with_endpoints(
+                tmp_path, discovery=silent_discovery.address, limits=limits
+            ) as program:
                 idle = []
                 for _ in range(4):
                     idle += await asyncio.gather(*(program.connect() for _ in range(60)))
--- a/tests/frontends/test_platform_load_reports.py
+++ b/tests/frontends/test_platform_load_reports.py
@@ -1,4 +1,4 @@
-"""Load probes on the platform's protocol."""
+"""Check load probes in the platform's protocol."""
 
 import asyncio
 
--- a/tests/frontends/test_platform_reload.py
+++ b/tests/frontends/test_platform_reload.py
@@ -1,4 +1,4 @@
-"""The platform's configuration at the start and on a reload."""
+"""Check the platform's configuration at the start and on a reload."""
 
 import pytest
 from stand_ins import (
@@ -34,20 +34,22 @@
                 "discovery: must be HOST:PORT"
                 in (await program.wait_for_log("configuration_reload_failed"))["error"]
             )
-            assert not program.discovery.closed.qsize(), "the watch continues"
-            listed = [program.entries[0], registry_entry("w2", other.address, "decode")]
-            async with StandInDiscovery(listed) as new_discovery:
+            assert not program.discovery.closed.qsize(), "the watch must continue"
+            new_entries = [program.entries[0], registry_entry("w2", other.address, "decode")]
+            async with StandInDiscovery(new_entries) as new_discovery:
                 program.reload(discovery=new_discovery.address, name="other")
                 reloaded = await program.wait_for_log("configuration_reloaded")
                 assert reloaded["watch"] == new_discovery.address and reloaded["at_next_start"] == ["name"]
-                assert await within(program.discovery.closed.get()), "the old watch is closed"
+                assert await within(program.discovery.closed.get()), "the old watch must be closed"
                 (call, *_) = await new_discovery.wait_for("GET /registry/instances")
-                assert "since" not in call[0], "another agent numbers its lists anew"
+                assert "since" not in call[0], (
+                    "list numbers of the old discovery are not valid for the new one"
+                )
                 while (await program.wait_for_log("endpoint_list_updated"))["known"] != 2:
                     pass
                 assert (await program.exchange(chat_request()))[0].split()[1] == "200"
                 assert len(other.named("POST /v1/chat")) == 1 and not program.decode_server.named("POST")
-                await new_discovery.publish([{**listed[0], "status": "Terminating"}])
+                await new_discovery.publish([{**new_entries[0], "status": "Terminating"}])
                 while (await program.wait_for_log("endpoint_list_updated"))["not_ready"] != {
                     "r1": "draining"
                 }:
--- a/tests/frontends/test_platform_requests.py
+++ b/tests/frontends/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""Requests on the platform's protocol reach the endpoints and their responses the client."""
+"""Check that the platform's frontend forwards requests and responses, and rejects malformed requests."""
 
 import pytest
 from stand_ins import (
@@ -63,7 +63,7 @@
             assert (await program.exchange(data))[0].split()[1] == str(status)
             assert (await program.exchange(chat_request(id="good")))[0].split()[1] == "200"
             assert len(program.prefill_server.named("POST")) == 1, (
-                "only the good one reached a prefill endpoint"
+                "only the valid request may reach a prefill endpoint"
             )
 
     run(test())
--- a/tests/frontends/test_platform_shutdown.py
+++ b/tests/frontends/test_platform_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM and SIGHUP on the platform's protocol."""
+"""Check SIGTERM and SIGHUP while the router serves the platform's protocol."""
 
 import asyncio
 import os
@@ -38,7 +38,7 @@
             await program.wait_for_log("stopping")
             late = await program.exchange(message("GET /health/ready HTTP/1.1", Host="h"))
             assert late[0].split()[1] == "503" and late[1]["connection"] == "close"
-            assert await within(idle_reader.read()) == b"", "an idle connection is closed"
+            assert await within(idle_reader.read()) == b"", "an idle connection must be closed"
             resume.set()
             assert (await within(read_message(reader)))[2] == EVENT + DONE
             assert await within(program.process.wait()) == 0
@@ -57,9 +57,11 @@
             program.reload()
             await program.wait_for_log("configuration_reloaded")
             assert (await within(read_message(reader)))[0].split()[1] == "503"
-            while program.process.returncode is None:  # up to the very end
+            while program.process.returncode is None:  # Send SIGHUP until the process has ended.
                 with suppress(ProcessLookupError):
-                    os.kill(program.process.pid, signal.SIGHUP)  # send_signal() would reap it: status 255
+                    os.kill(
+                        program.process.pid, signal.SIGHUP
+                    )  # send_signal() would reap the process: status 255.
                 await asyncio.sleep(0)
                 with suppress(TimeoutError):
                     await asyncio.wait_for(asyncio.shield(program.process.wait()), 0.002)
@@ -78,20 +80,20 @@
             slow_writer.write(chat_request("pieces")[:40])
             await asyncio.sleep(0.1)
             program.process.send_signal(signal.SIGTERM)
-            assert await within(idle_reader.read()) == b"", "the idle connection is closed"
-            for data in (chat_request("crossed"), b"more"):  # in the very moment of the close
+            assert await within(idle_reader.read()) == b"", "the idle connection must be closed"
+            for data in (chat_request("crossed"), b"more"):  # The bytes cross the close of the connection.
                 idle_writer.write(data)
                 await asyncio.sleep(0.1)
             slow_writer.write(chat_request("pieces")[40:])
             answer = await within(read_message(slow_reader))
             assert answer[0].endswith("200 OK") and answer[1]["connection"] == "close"
             connection = idle_writer.transport.get_extra_info("socket")
-            assert connection.getsockopt(SOL_SOCKET, SO_ERROR) == 0, "no reset"
+            assert connection.getsockopt(SOL_SOCKET, SO_ERROR) == 0, "the connection must not be reset"
             idle_writer.close()
             slow_writer.close()
             assert await within(program.process.wait()) == 0
             ids = [call[1]["x-correlation-id"] for call in program.prefill_server.named("POST /v1/chat")]
-            assert ids == ["first", "pieces"], "what comes after the end is not accepted"
+            assert ids == ["first", "pieces"], "requests after the end of the connection must not be accepted"
 
     run(test())
 
@@ -115,7 +117,7 @@
             client.write(b"x" * 300_000)
             resume.set()
             assert (await within(read_message(answers)))[2] == EVENT * 201 + USAGE + DONE
-            assert await within(answers.read()) == b"", "an end, not a reset"
+            assert await within(answers.read()) == b"", "the connection must be closed without a reset"
             client.close()
             assert await within(program.process.wait()) == 0
 
--- a/tests/support/endpoint_handlers.py
+++ b/tests/support/endpoint_handlers.py
@@ -1,10 +1,10 @@
-"""Answer calls as prefill and decode endpoints do: handlers for a StandInServer."""
+"""Handlers with which a StandInServer answers calls like a prefill or decode endpoint."""
 
 import asyncio
 
 from llm_router.emulator.http import LAST_CHUNK, STREAM_HEAD, chunk, message
 
-CHAT = "POST /v1/chat"  # how the first line of a request for an answer starts
+CHAT = "POST /v1/chat"  # The request line of a chat request starts with this text.
 STREAM = STREAM_HEAD
 EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}\n\n'
 USAGE = b'data: {"choices":[],"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}}}\n\n'
@@ -12,7 +12,7 @@
 
 
 async def prefill(call, writer):
-    """Accept each prefill at once and each release."""
+    """Complete every prefill without delay, and accept every other call."""
     if call[0].startswith(CHAT):
         writer.write(message("HTTP/1.1 202 Accepted", b'{"cached_tokens":4}'))
     else:
@@ -20,7 +20,7 @@
 
 
 async def decode(call, writer):
-    """Stream an answer, and reject reservations."""
+    """Stream a complete response to a chat request, and reject every other call with a conflict."""
     if call[0].startswith(CHAT):
         writer.write(STREAM + chunk(EVENT) + chunk(USAGE + DONE) + LAST_CHUNK)
     else:
@@ -28,23 +28,23 @@
 
 
 async def hang(_call, _writer):
-    """Answer nothing."""
+    """Never answer."""
     await asyncio.Event().wait()
 
 
 async def never_prefill(call, writer):
-    """Never end a prefill, and answer all else."""
+    """Never answer a prefill, and accept every other call."""
     handler = hang if call[0].startswith(CHAT) else prefill
     await handler(call, writer)
 
 
 async def accept_release(_call, writer):
-    """Accept each release."""
+    """Accept every call."""
     writer.write(message("HTTP/1.1 204 No Content"))
 
 
 def paused_stream(resume):
-    """Return a handler that streams an event, and the rest of the answer once `resume` is set."""
+    """Return a handler that streams one event, and the rest of the response once `resume` is set."""
 
     async def handler(call, writer):
         if not call[0].startswith(CHAT):
--- a/tests/support/kserve_sidecar.py
+++ b/tests/support/kserve_sidecar.py
@@ -1,4 +1,4 @@
-"""The router as a sidecar: started with the shipped standalone configuration before stand-in v2 servers."""
+"""Runs the router as a KServe sidecar, with the shipped standalone configuration and stand-in endpoints."""
 
 import json
 import re
@@ -12,7 +12,7 @@
 
 
 def load_assignment(*servers):
-    """Return a load assignment of (address, health status) pairs."""
+    """Return the JSON text of a load assignment for pairs of an address and a health status."""
     lb_endpoints = []
     for index, (address, health) in enumerate(servers):
         host, port = address.split(":")
@@ -24,12 +24,12 @@
                 "metadata": {"filter_metadata": {"hoplane": {"name": f"m{index}"}}},
             }
         )
-    kind = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+    resource_type = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
     return json.dumps(
         {
             "resources": [
                 {
-                    "@type": kind,
+                    "@type": resource_type,
                     "cluster_name": "desk",
                     "endpoints": [{"locality": {"zone": "z", "sub_zone": "k"}, "lb_endpoints": lb_endpoints}],
                 }
@@ -40,20 +40,21 @@
 
 @asynccontextmanager
 async def sidecar(tmp_path, *servers):
-    """Start the router with the file that the repository ships, at a free address and with these servers."""
+    """Run the router with the shipped configuration file, a free listen address and the given endpoints."""
     address = f"127.0.0.1:{free_port()}"
-    text = (ROOT / "deploy/kserve.toml").read_text()
-    (tmp_path / "kserve.toml").write_text(re.sub(r'listen = ".*?"', f'listen = "{address}"', text))
+    configuration = (ROOT / "deploy/kserve.toml").read_text()
+    (tmp_path / "kserve.toml").write_text(re.sub(r'listen = ".*?"', f'listen = "{address}"', configuration))
     (tmp_path / "xds").mkdir()
     (tmp_path / "xds/clusters.json").write_text((ROOT / "deploy/xds/clusters.json").read_text())
-    file = tmp_path / "xds/endpoints.json"
-    file.write_text(load_assignment(*[(server.address, "HEALTHY") for server in servers]))
+    endpoints_path = tmp_path / "xds/endpoints.json"
+    endpoints_path.write_text(load_assignment(*[(server.address, "HEALTHY") for server in servers]))
     async with started_process(str(tmp_path / "kserve.toml"), address=address) as program:
-        program.endpoints_file, program.file = file, tmp_path / "kserve.toml"
+        program.endpoints_file, program.file = endpoints_path, tmp_path / "kserve.toml"
         yield program
 
 
 def infer_request(request_id="b1", cls="booking", model="desk", **parameters):
+    """Return an encoded inference request."""
     inference = {
         "id": request_id,
         "parameters": {"service_class": cls, **parameters},
@@ -64,10 +65,10 @@
 
 
 async def status(program, data):
-    """Return the status of an exchange, whose error texts and Retry-After are checked."""
-    first, headers, body = await program.exchange(data)
-    code = int(first.split()[1])
+    """Send a request and return the response's status; check the error text and the Retry-After header."""
+    status_line, headers, body = await program.exchange(data)
+    code = int(status_line.split()[1])
     assert code < 400 or code in (413,) or json.loads(body)["error"]
     if code == 503:
-        assert float(headers["retry-after"]) > 0, "a rejection says when to retry"
+        assert float(headers["retry-after"]) > 0, "a rejection must have a Retry-After header"
     return code
--- a/tests/support/platform_requests.py
+++ b/tests/support/platform_requests.py
@@ -1,4 +1,4 @@
-"""Write the platform's settings and requests."""
+"""Settings and requests for tests of the platform's protocol."""
 
 from llm_router.emulator.http import message
 
@@ -33,14 +33,14 @@
 
 
 def chat_request(
-    id="r1",  # noqa: A002  # the name that tests use
+    id="r1",  # noqa: A002 - tests pass the request id by this name
     cls="lookup",
     time_remaining_ms=4000,
     body=b'{"stream":true}',
     facts=FACTS,
     query="",
 ):
-    """Return an encoded request of a class, with `time_remaining_ms` milliseconds remaining."""
+    """Return an encoded chat request with the given headers, query string and body."""
     return message(
         f"POST /v1/chat/completions{query} HTTP/1.1",
         body,
--- a/tests/test_sidecar_config.py
+++ b/tests/test_sidecar_config.py
@@ -1,4 +1,4 @@
-"""The command writes a valid sidecar configuration, and names what is at fault in an invalid one."""
+"""Check that the command writes a valid sidecar configuration and names the invalid key of another."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 def test_the_written_configuration_is_valid(app, capsys):
     assert sidecar_config.main(["check", str(app / "llm_router.toml")]) == 0
     assert "desk: 1 endpoints" in capsys.readouterr().out
-    assert sidecar_config.main(["init", str(app)]) == 2, "no file is overwritten"
+    assert sidecar_config.main(["init", str(app)]) == 2, "existing files must not be overwritten"
 
 
 def test_the_shipped_configuration_is_valid():
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("file", "old", "new", "word"),
+    ("file", "old", "new", "error_text"),
     [
         ("llm_router.toml", "sockets = 1024", "sockets = 32", "limits.sockets: must be at least 64"),
         (
@@ -42,9 +42,9 @@
         ("endpoints.json", "9001", "0", "socket_address"),
     ],
 )
-def test_check_names_the_key_at_fault(app, capsys, file, old, new, word):
+def test_check_names_the_invalid_key(app, capsys, file, old, new, error_text):
     path = app / file
     assert old in path.read_text()
     path.write_text(path.read_text().replace(old, new))
     assert sidecar_config.main(["check", str(app / "llm_router.toml")]) == 2
-    assert word in capsys.readouterr().err
+    assert error_text in capsys.readouterr().err
