--- a/llm_router/frontends/kserve/frontend.py
+++ b/llm_router/frontends/kserve/frontend.py
@@ -27,7 +27,7 @@
 from llm_router.transport.responses import request_target
 from llm_router.transport.runtime import Runtime
 
-# Clients may check the server name, so it stays although the program is now called llm_router.
+# Server name in the metadata response. Clients may check it, so it must not change with the package name.
 SERVER_NAME = "hoplane"
 EXTENSIONS = ["binary_tensor_data"]
 METADATA_TIMEOUT = timedelta(seconds=1)  # timeout of a metadata request to one endpoint
--- a/llm_router/frontends/registry_list.py
+++ b/llm_router/frontends/registry_list.py
@@ -28,7 +28,7 @@
 
 
 class MalformedEntryError(ValueError):
-    """An entry of an endpoint list that has no readable name or no readable status."""
+    """Raised for an endpoint list entry without a readable name or status."""
 
 
 def read_list(answer: Mapping[str, Any]) -> EndpointListReceived:
--- a/llm_router/frontends/request_handling.py
+++ b/llm_router/frontends/request_handling.py
@@ -23,12 +23,12 @@
 
 
 def subtract_response_margin(time_remaining: timedelta) -> timedelta:
-    """Return the client's time remaining less the time that the router needs to send its answer."""
+    """Subtract the time that the router needs to send its answer from the client's time remaining."""
     return max(ZERO_DURATION, time_remaining - RESPONSE_MARGIN)
 
 
 def subtract_queueing_delay(received: RequestReceived, queueing_delay: timedelta) -> RequestReceived:
-    """Return the request with the queueing delay subtracted from its time remaining.
+    """Return the request after its queueing delay is subtracted from its time remaining.
 
     The router and the endpoints must not work on a request for longer than its client waits."""
     return replace(received, time_remaining=max(ZERO_DURATION, received.time_remaining - queueing_delay))
