--- a/llm_router/emulator/endpoint.py
+++ b/llm_router/emulator/endpoint.py
@@ -234,7 +234,7 @@
         if self._behaviour is EndpointBehaviour.MUTE:
             await _until_disconnected(reader)
         elif self._proxy is not None:
-            passing = asyncio.ensure_future(self._proxy.wait_until_answers_pass())
+            passing = asyncio.ensure_future(self._proxy.wait_until_responses_pass())
             disconnected = asyncio.ensure_future(_until_disconnected(reader))
             waiting = {passing, disconnected}
             await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
