--- a/benchmarks/fleet_footprint.py
+++ b/benchmarks/fleet_footprint.py
@@ -145,7 +145,7 @@
         return Usage(
             cpu_s=cpu_seconds(self._router.process.pid),
             connections=sum(endpoint.accepted_connections for endpoint in self._started),
-            list_bytes=self._router.agent.bytes_written,
+            list_bytes=self._router.agent.list_bytes_written,
             requests=counts["requests"],
             served=counts["answer 200"],
         )
