--- a/llm_router/emulator/failing_calls.py
+++ b/llm_router/emulator/failing_calls.py
@@ -1,10 +1,15 @@
-"""Run a router whose system calls fail, and whose wall clock is wrong, as a plan says.
+"""Run a router with injected system call failures and a shifted wall clock.
 
     LLM_ROUTER_FAULT_PLAN='{"calls": [...]}' python -m llm_router.emulator.failing_calls [FILE]
 
-The plan is a JSON object. `wall_clock_offset_s` moves the wall clock. Each entry of `calls` makes one call
-fail: `call` (accept, connect, socket or send), `errors` (names of `errno`, drawn at random), `one_in` (how
-often, 1 is always), `times` (how often at most), and `while_file` (only while that file exists)."""
+The fault plan is a JSON object. `wall_clock_offset_s` shifts the wall clock by that many seconds. `seed`
+seeds the random draws. Each entry of `calls` makes one system call fail and has these fields:
+
+- `call`: accept, connect, socket or send
+- `errors`: names of `errno` constants; each failure draws one at random
+- `one_in`: one in this many calls fails on average; with 1, each call fails
+- `times`: the largest number of failures
+- `while_file`: a path; the call fails only while this file exists"""
 
 from __future__ import annotations
 
@@ -21,22 +26,22 @@
 
 
 class FailingCalls:
-    """A fault plan in force in this process."""
+    """Injects the faults of a fault plan into this process."""
 
     def __init__(self, plan: FaultPlan) -> None:
         self._plan = plan
         self._rng = random.Random(plan.seed)
 
     def install(self) -> None:
-        """Replace calls of Python's socket and time modules by ones that fail."""
+        """Patch the `socket` and `time` modules so that calls fail as the fault plan says."""
         for call in ("accept", "connect", "send"):
             self._wrap_method(call)
-        self._wrap_creation()
+        self._wrap_constructor()
         if self._plan.wall_clock_offset_s:
             self._shift_wall_clock(self._plan.wall_clock_offset_s)
 
     def _raise_drawn_error(self, call: str) -> None:
-        """Raise the error with which this call fails, if it does."""
+        """Draw whether a system call fails, and raise its error if it does."""
         for failing_call in self._plan.calls:
             if failing_call.call != call:
                 continue
@@ -45,7 +50,7 @@
                 raise error
 
     def _wrap_method(self, name: str) -> None:
-        """Make one method of internet sockets fail before it does anything."""
+        """Wrap one method of internet sockets so that an injected error is raised in place of the call."""
         original: Callable[..., object] = getattr(socket.socket, name)
 
         def failing(sock: socket.socket, *arguments: object) -> object:
@@ -55,14 +60,14 @@
 
         setattr(socket.socket, name, failing)
 
-    def _wrap_creation(self) -> None:
-        """Make the creation of internet sockets fail."""
+    def _wrap_constructor(self) -> None:
+        """Wrap the constructor of sockets so that creating an internet socket can fail."""
         original = socket.socket.__init__
 
         def failing(
             sock: socket.socket,
             family: int = -1,
-            type: int = -1,  # noqa: A002  # the name of the parameter that it replaces
+            type: int = -1,  # noqa: A002  # The wrapped constructor has a parameter of this name.
             proto: int = -1,
             fileno: int | None = None,
         ) -> None:
@@ -70,20 +75,20 @@
                 self._raise_drawn_error("socket")
             original(sock, family, type, proto, fileno)
 
-        socket.socket.__init__ = failing  # type: ignore[assignment,method-assign]  # on purpose
+        socket.socket.__init__ = failing  # type: ignore[assignment,method-assign]  # The patch is intended.
 
     @staticmethod
     def _shift_wall_clock(offset: float) -> None:
-        """Move `time.time` by seconds."""
+        """Make `time.time` run ahead of the true time by `offset` seconds."""
         true_time = time.time
         time.time = lambda: true_time() + offset
 
 
 def main(arguments: list[str]) -> int:
-    """Put the plan of the environment in force and run a router."""
+    """Install the fault plan from the environment variable, and run a router."""
     plan = FaultPlan.parse(os.environ.get(FAULT_PLAN_VARIABLE, "{}"))
     FailingCalls(plan).install()
-    # Imported late: the router's modules must find the calls replaced.
+    # The router is imported after the patches, so that its modules bind the patched calls.
     from llm_router.__main__ import main as run_router
 
     return run_router(arguments)
--- a/llm_router/emulator/fault_plan.py
+++ b/llm_router/emulator/fault_plan.py
@@ -1,4 +1,4 @@
-"""Describe which system calls of a process fail, and how wrong its wall clock is."""
+"""Define the fault plan of a process: its failing system calls and its wall-clock error."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 import orjson
 
-FAULT_PLAN_VARIABLE = "LLM_ROUTER_FAULT_PLAN"  # of the environment
+FAULT_PLAN_VARIABLE = "LLM_ROUTER_FAULT_PLAN"  # the environment variable that holds the plan
 CALLS = ("accept", "connect", "socket", "send")
 
 
 @dataclass(slots=True)
 class FailingCall:
-    """One kind of system call that fails now and then."""
+    """A system call that fails at random, and the limits on its failures."""
 
     call: str
-    errors: tuple[str, ...]  # names of `errno`
-    one_in: int = 1
-    times: int | None = None  # how often it still fails; None: no limit
-    while_file: Path | None = None
+    errors: tuple[str, ...]  # constant names of the `errno` module
+    one_in: int = 1  # One in this many calls fails on average.
+    times: int | None = None  # failures that are left; None means no limit
+    while_file: Path | None = None  # Calls fail only while this file exists.
 
     def __post_init__(self) -> None:
         if self.call not in CALLS:
-            raise ValueError(f"call: {self.call!r} is none of {', '.join(CALLS)}")
+            raise ValueError(f"call: unknown call {self.call!r}, expected one of {', '.join(CALLS)}")
         unknown = [name for name in self.errors if not hasattr(errno, name)]
         if unknown:
-            raise ValueError(f"errors: {unknown[0]!r} is no name of an error")
+            raise ValueError(f"errors: {unknown[0]!r} is not the name of an errno constant")
 
     def draw_error(self, rng: random.Random) -> OSError | None:
-        """Return the error with which this call fails, None where it does not."""
+        """Draw whether this call fails; return its error, or None if the call succeeds."""
         if self.times == 0:
             return None
         if self.while_file is not None and not self.while_file.exists():
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class FaultPlan:
-    """What fails in one process."""
+    """The faults to inject into one process."""
 
     calls: tuple[FailingCall, ...] = ()
     wall_clock_offset_s: float = 0.0
@@ -55,7 +55,7 @@
 
     @classmethod
     def parse(cls, text: str) -> FaultPlan:
-        """Parse a plan in JSON; raise a ValueError, TypeError or KeyError that says what is wrong."""
+        """Parse a JSON fault plan; raise a ValueError, TypeError or KeyError if it is invalid."""
         plan_fields = orjson.loads(text)
         calls = []
         for call_fields in plan_fields.pop("calls", ()):
