--- a/llm_router/emulator/__init__.py
+++ b/llm_router/emulator/__init__.py
@@ -1,3 +1,3 @@
-"""Emulate what a router meets: endpoints, discovery, clients, network faults and failing system calls.
+"""Emulate a router's surroundings: endpoints, discovery, clients, network faults and failing system calls.
 
-Tools and tests use it. The router itself imports nothing from here."""
+Tools and tests use this package. The router itself imports nothing from it."""
--- a/llm_router/emulator/http.py
+++ b/llm_router/emulator/http.py
@@ -1,4 +1,4 @@
-"""Read and write HTTP/1.1 messages for the emulator's endpoints, discovery and clients."""
+"""Read and encode HTTP/1.1 messages for the emulated endpoints, discovery and clients."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Message(NamedTuple):
-    """A message: its start line, its headers by names in lower case, and its body."""
+    """An HTTP message: the start line, the headers keyed by lower-case name, and the body."""
 
     start_line: str
     headers: Mapping[str, str]
@@ -20,22 +20,22 @@
 
     @property
     def method(self) -> str:
-        """Return a request's method."""
+        """Return the method of a request."""
         return self.start_line.split(" ")[0]
 
     @property
     def path(self) -> str:
-        """Return a request's path and query."""
+        """Return the path and query of a request."""
         return self.start_line.split(" ")[1]
 
     @property
     def status(self) -> int:
-        """Return a response's status."""
+        """Return the status code of a response."""
         return int(self.start_line.split(" ")[1])
 
 
 async def read_head(reader: asyncio.StreamReader) -> Message | None:
-    """Read a message's head; return None where the connection ends before it does."""
+    """Read the head of a message; return None if the connection ends before the head is complete."""
     try:
         head = await reader.readuntil(HEAD_END)
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -50,9 +50,9 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message | None:
-    """Read a message; return None where the connection ends before its head does.
+    """Read a message; return None if the connection ends before the head is complete.
 
-    Raise asyncio.IncompleteReadError where the body is truncated."""
+    Raise asyncio.IncompleteReadError if the body is truncated."""
     head = await read_head(reader)
     if head is None:
         return None
@@ -67,12 +67,12 @@
 
 
 def message(start_line: str, body: bytes = b"", **headers: object) -> bytes:
-    """Return an encoded message; underscores in the names of headers stand for hyphens."""
+    """Return an encoded message; underscores in header names become hyphens."""
     headers["Content_Length"] = len(body)
     lines = [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join([start_line, *lines, "", ""]).encode() + body
 
 
 def chunk(data: bytes) -> bytes:
-    """Return one encoded chunk of a chunked body."""
+    """Encode data as one chunk of a chunked body."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
