--- a/llm_router/emulator/oracle/execution_checks.py
+++ b/llm_router/emulator/oracle/execution_checks.py
@@ -35,12 +35,12 @@
         record.prefills += 1
         self._leases.update_timer(record)
 
-    def prefill_ended(self, request_id: str, endpoint: str, left_state: bool) -> None:
+    def prefill_ended(self, request_id: str, endpoint: str, left_kv_state: bool) -> None:
         """Record the end of a prefill, and whether it left its KV state."""
         record = self._traffic.requests[request_id]
         record.prefills -= 1
         self._leases.check(record)
-        if left_state:
+        if left_kv_state:
             record.leased.add(LeasedResource(ResourceKind.KV_STATE, endpoint))
         self._check_overlap(record)
         self._leases.update_timer(record, restart=True)
--- a/tests/emulator/test_oracle.py
+++ b/tests/emulator/test_oracle.py
@@ -48,7 +48,7 @@
     """Play a request that is served."""
     oracle.attempts.attempt_started("q", "p", 0.9)
     oracle.executions.prefill_started("q", "p")
-    oracle.executions.prefill_ended("q", "p", left_state=True)
+    oracle.executions.prefill_ended("q", "p", left_kv_state=True)
     oracle.executions.decode_started("q", "d")
     oracle.executions.first_token_written("q")
     oracle.clients.response_received("q", 200)
@@ -81,8 +81,8 @@
     oracle.executions.prefill_started("q", "p")
     oracle.executions.prefill_started("q", "p2")
     clock.now += overlap
-    oracle.executions.prefill_ended("q", "p", left_state=False)
-    oracle.executions.prefill_ended("q", "p2", left_state=False)
+    oracle.executions.prefill_ended("q", "p", left_kv_state=False)
+    oracle.executions.prefill_ended("q", "p2", left_kv_state=False)
     assert violated_rules(oracle) == violated
 
 
@@ -116,7 +116,7 @@
 
 def test_a_lease_with_no_attempt_in_flight_ends_with_the_release_timeout(oracle, clock):
     oracle.executions.prefill_started("q", "p")
-    oracle.executions.prefill_ended("q", "p", left_state=True)
+    oracle.executions.prefill_ended("q", "p", left_kv_state=True)
     clock.now += 0.3
     oracle.leases.check_all()
     assert violated_rules(oracle) == []
