--- a/llm_router/emulator/load_generator.py
+++ b/llm_router/emulator/load_generator.py
@@ -1,4 +1,4 @@
-"""Generate the traffic of a router's clients: usual ones, ones that disconnect, and malformed ones."""
+"""Emulate the clients of a router: patient clients, clients that disconnect, and malformed requests."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from llm_router.emulator.router_process import RouterProcess
 
 BODY = b'{"stream":true,"max_tokens":20,"messages":[]}'
-TIME_REMAINING_MS = (250, 900, 2500, 4000, 8000)
-DISCONNECT_AFTER = (0.0, 0.005, 0.03, 0.12, 0.4)  # seconds
-DISCONNECTING_SHARE = 0.2  # of the clients
-RESETTING_SHARE = 0.3  # of the clients that disconnect
-SLOW_SHARE = 0.05  # of the clients: these write a request in two parts
-NEW_CONNECTION_SHARE = 0.6  # of the requests for which an idle connection is there
-MALFORMED_SHARE = 0.05  # of the clients
-SLOW_PREFIX = 40  # bytes of a request that a slow client writes first
-SLOW_LIMIT = 0.3  # seconds that a slow client waits at most between the parts
+TIME_REMAINING_MS = (250, 900, 2500, 4000, 8000)  # milliseconds that a client waits for the final answer
+DISCONNECT_AFTER = (0.0, 0.005, 0.03, 0.12, 0.4)  # seconds from the end of the request to the disconnect
+DISCONNECTING_SHARE = 0.2  # probability that a client may disconnect before the end of the response
+RESETTING_SHARE = 0.3  # probability that a disconnect is a connection reset
+SLOW_SHARE = 0.05  # probability that a client writes its request in two parts
+NEW_CONNECTION_SHARE = 0.6  # probability of a new connection although an idle connection is available
+MALFORMED_SHARE = 0.05  # probability that a client sends a malformed request
+SLOW_PREFIX = 40  # bytes in the first part of a request that is written in two parts
+SLOW_LIMIT = 0.3  # maximum seconds between the two parts of a request
 CONNECT_TIMEOUT = 1.0  # seconds
-ANSWER_GRACE = 3.0  # seconds beyond its deadline for which an answer is awaited
-KILL_GRACE = 0.2  # seconds in which a kill by the soak ends the process
-MALFORMED_ANSWER_LIMIT = 3.5  # seconds in which a malformed request gets an error or a close
-EVENT_MARK = re.compile(rb'"by":"(\w+)","at":([0-9.]+)')
+ANSWER_GRACE = 3.0  # seconds that a client waits for the response after its deadline
+KILL_GRACE = 0.2  # seconds to wait before checking whether a kill ended the router process
+MALFORMED_ANSWER_LIMIT = 3.5  # seconds within which a router must answer or close after a malformed request
+EVENT_PATTERN = re.compile(rb'"by":"(\w+)","at":([0-9.]+)')
 MALFORMED_REQUESTS = (
     b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" * 20,
     b"GET " + b"x" * 70_000,
@@ -41,12 +41,12 @@
 
 
 class NoResponseError(ConnectionError):
-    """A connection ended before the first byte of a response."""
+    """Raised if a connection ends before a response head arrives."""
 
 
 @dataclass(slots=True)
 class Connection:
-    """A client's connection, and whether a further request may be sent on it."""
+    """A client's connection; `reusable` tells whether it may carry another request."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -55,15 +55,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientRequest:
-    """One request, as it is written."""
+    """One encoded request of a client."""
 
     id: str
     data: bytes
-    time_remaining: float  # seconds that its client waits for the final answer
+    time_remaining: float  # seconds that the client waits for the final answer
 
 
 class LoadGenerator:
-    """All clients of one router."""
+    """Emulates all clients of one router."""
 
     def __init__(
         self, oracle: Oracle, router: RouterProcess, classes: dict[str, Idempotency], seed: int
@@ -77,7 +77,7 @@
         self._tasks = BackgroundTasks()
 
     async def generate(self, rate: float) -> None:
-        """Start clients while the router is ready, `rate` a second in the mean, until cancelled."""
+        """Start `rate` clients per second on average while the router is ready, until cancelled."""
         while True:
             await asyncio.sleep(self._rng.expovariate(rate))
             if not self._router.ready:
@@ -87,32 +87,34 @@
             self._tasks.spawn(self._send_malformed() if is_malformed else self._send_request())
 
     async def open_idle_connections(self, size: int) -> None:
-        """Open so many connections that stay idle until the router ends them."""
+        """Open `size` connections that stay idle until the router closes them."""
         for _ in range(size):
             connection = await self._connect()
             if connection is not None:
                 self._tasks.spawn(self._wait_for_close(connection))
 
     async def _wait_for_close(self, connection: Connection) -> None:
-        """Leave a connection idle until its other end closes it."""
+        """Keep a connection idle until the router closes it."""
         with suppress(OSError):
             await connection.reader.read()
         connection.writer.close()
 
     def _use_idle_or_close(self) -> None:
-        """Send on an open connection of a router that is being stopped; close all once it has ended."""
+        """Send a request on an idle connection of a router that is shutting down.
+
+        If the router has ended, or was not sent SIGTERM, close all idle connections instead."""
         if not self._router.is_running or self._router.terminated_at is None:
             self._close_idle()
         elif self._idle:
             self._tasks.spawn(self._send_on(self._idle.pop()))
 
     def _close_idle(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop().writer.close()
 
     async def _connect(self) -> Connection | None:
-        """Open a connection; return None where it fails."""
+        """Open a connection to the router; return None if that fails."""
         host, port = self._router.listen.split(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
@@ -121,7 +123,7 @@
             return None
 
     def _draw_request(self) -> ClientRequest:
-        """Draw a request, and report it to the oracle."""
+        """Create a random request, and report it to the oracle."""
         rng = self._rng
         class_name = rng.choice(list(self._classes))
         time_remaining_ms = rng.choice(TIME_REMAINING_MS)
@@ -141,14 +143,14 @@
         return ClientRequest(request_id, data, time_remaining_ms / 1000)
 
     async def _send_request(self) -> None:
-        """Send one request and wait for its end."""
+        """Send one request on an idle or new connection, and wait for the response."""
         idle = self._take_idle()
         connection = idle or await self._connect()
         if connection is not None:
             await self._send_on(connection, may_retry=idle is not None)
 
     async def _send_on(self, connection: Connection, may_retry: bool = True) -> None:
-        """Send one request on a connection, and wait for its end."""
+        """Send one request on a connection, and wait for the response."""
         request = self._draw_request()
         process = self._router.process
         try:
@@ -157,7 +159,7 @@
             await self._check_unanswered(request.id, process, error)
 
     def _take_idle(self) -> Connection | None:
-        """Return an idle connection, None where there is none or a new one is to be opened."""
+        """Take an idle connection; return None if there is none or the client draws a new connection."""
         if self._idle and self._rng.random() > NEW_CONNECTION_SHARE:
             return self._idle.pop()
         return None
@@ -165,7 +167,9 @@
     async def _exchange_with_retry(
         self, request: ClientRequest, connection: Connection, may_retry: bool
     ) -> None:
-        """Exchange a request, once more on a new connection where it crossed the end of an idle one."""
+        """Send a request and receive the response.
+
+        If an idle connection has become stale, the request is sent again on a new connection."""
         try:
             await self._exchange(request, connection)
             return
@@ -181,23 +185,23 @@
     async def _check_unanswered(
         self, request_id: str, process: asyncio.subprocess.Process, error: Exception
     ) -> None:
-        """Report a connection that ended without an answer, unless the soak killed its router."""
+        """Report a request without a complete response, unless a kill of the router excuses it."""
         await asyncio.sleep(KILL_GRACE)
         was_killed = process.returncode is not None and process.returncode < 0
-        if not was_killed or self._was_owed(request_id, process):
-            self._oracle.clients.closed_unanswered(request_id, f"its connection ended: {error!r}")
+        if not was_killed or self._must_have_been_answered(request_id, process):
+            self._oracle.clients.closed_unanswered(request_id, f"no complete response: {error!r}")
         else:
             self._oracle.clients.request_abandoned(request_id)
 
-    def _was_owed(self, request_id: str, process: asyncio.subprocess.Process) -> bool:
-        """Return whether a planned restart killed a router that had to answer a request before."""
+    def _must_have_been_answered(self, request_id: str, process: asyncio.subprocess.Process) -> bool:
+        """Return whether the router had to answer a request before a planned restart killed it."""
         record = self._oracle.traffic.requests[request_id]
         if record.deadline is None or self._router.process is not process:
             return False
-        return self._router.owes_answer_at_kill(record.written_at, record.deadline)
+        return self._router.must_answer_before_kill(record.written_at, record.deadline)
 
     async def _exchange(self, request: ClientRequest, connection: Connection) -> None:
-        """Exchange one request, then put its connection back or close it."""
+        """Send one request and receive the response, then keep the connection for reuse or close it."""
         connection.reusable = False
         try:
             await self._write(request.data, connection.writer)
@@ -210,7 +214,7 @@
                 connection.writer.close()
 
     async def _await_response(self, request: ClientRequest, connection: Connection) -> bool:
-        """Receive the response or disconnect before it; return whether the connection is reusable."""
+        """Receive the response or disconnect first; return whether the connection is reusable."""
         if self._rng.random() < DISCONNECTING_SHARE:
             disconnect_after = self._rng.choice(DISCONNECT_AFTER)
             return await self._receive_or_disconnect(request, connection, disconnect_after)
@@ -219,7 +223,7 @@
         return response.headers.get("connection", "") != "close"
 
     async def _write(self, data: bytes, writer: asyncio.StreamWriter) -> None:
-        """Write a request, a slow client's in two parts."""
+        """Write a request, sometimes in two parts with a pause."""
         if self._rng.random() >= SLOW_SHARE:
             writer.write(data)
             return
@@ -230,7 +234,7 @@
     async def _receive_or_disconnect(
         self, request: ClientRequest, connection: Connection, disconnect_after: float
     ) -> bool:
-        """Receive the answer, or disconnect after some seconds; return whether the connection is reusable."""
+        """Receive the response, or disconnect after a time; return whether the connection is reusable."""
         try:
             async with asyncio.timeout(disconnect_after):
                 await self._receive(request.id, connection.reader)
@@ -242,10 +246,12 @@
         return True
 
     async def _receive(self, request_id: str, reader: asyncio.StreamReader) -> Message:
-        """Receive an answer to its end; as a final answer it counts from its head."""
+        """Receive a response to its end.
+
+        The final answer is reported to the oracle when the response head arrives."""
         head = await read_head(reader)
         if head is None:
-            raise NoResponseError("no response")
+            raise NoResponseError("connection closed before a response head")
         self._oracle.clients.response_received(request_id, head.status)
         if head.headers.get("transfer-encoding") != "chunked":
             await reader.readexactly(int(head.headers.get("content-length", 0)))
@@ -253,7 +259,7 @@
         try:
             while size := int(await reader.readline(), 16):
                 data = await reader.readexactly(size + 2)
-                for endpoint, written_at in EVENT_MARK.findall(data):
+                for endpoint, written_at in EVENT_PATTERN.findall(data):
                     self._oracle.clients.event_received(request_id, endpoint.decode(), float(written_at))
             await reader.readline()
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
@@ -262,7 +268,7 @@
         return head
 
     async def _send_malformed(self) -> None:
-        """Send a malformed request, which must get an error or a close in time."""
+        """Send a malformed request; count it if the router neither answers nor closes in time."""
         connection = await self._connect()
         if connection is None:
             return
--- a/llm_router/emulator/router_process.py
+++ b/llm_router/emulator/router_process.py
@@ -1,4 +1,4 @@
-"""Run a router as a process with failing system calls, signals, and a log that is checked."""
+"""Run a router as a child process: inject system call failures, send signals and check its log."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from llm_router.emulator.http import message, read_message
 from llm_router.emulator.oracle import Oracle, Rule
 
-LISTEN_PORTS = (12_000, 32_000)  # below those that the kernel gives to outgoing connections
-START_TIMEOUT = 10.0  # seconds from a start until it must be ready
+LISTEN_PORTS = (12_000, 32_000)  # below the ephemeral ports that the kernel assigns to outgoing connections
+START_TIMEOUT = 10.0  # seconds from the start of a router within which it must be ready
 READINESS_INTERVAL = 0.05  # seconds between two readiness probes
 READINESS_TIMEOUT = 1.0  # seconds that one readiness probe may take
-COUNTED_DEADLINE = 3.0  # seconds that the longest deadline counts at most in the time up to SIGKILL
-STOP_GRACE = 0.7  # seconds after SIGTERM in which clients may still get a whole deadline
-STOP_TIMEOUT = COUNTED_DEADLINE + STOP_GRACE  # seconds from SIGTERM to SIGKILL, the page's earliest
-SERIES_INTERVAL = 0.02  # seconds between two signals of a series
-ACCEPTED_AFTER_TERM = 0.3  # seconds after SIGTERM for which clients open new connections
-DISCOVERY_OVERLAP = 1.5  # seconds after a reload for which the old discovery address still answers
-RECENT_LINES = 30  # of the log
-MAX_LINE_BYTES = 1 << 20
-FAULT_EVENTS = (  # log events that report an internal error of the router
+COUNTED_DEADLINE = 3.0  # seconds; STOP_TIMEOUT counts no more than this for the longest deadline
+STOP_GRACE = 0.7  # seconds after SIGTERM within which a new request may still use its whole deadline
+STOP_TIMEOUT = COUNTED_DEADLINE + STOP_GRACE  # seconds from SIGTERM to SIGKILL, the minimum of the protocol
+SIGNAL_INTERVAL = 0.02  # seconds between two signals of one stop
+NEW_CONNECTION_GRACE = 0.3  # seconds after the last signal during which clients still open connections
+DISCOVERY_OVERLAP = 1.5  # seconds after a reload during which the old discovery address still answers
+RECENT_LOG_LINES = 30  # maximum number of log lines kept for crash reports
+MAX_LINE_BYTES = 1 << 20  # maximum length of a log line
+INTERNAL_ERROR_EVENTS = (  # names of the log events that report an internal error of the router
     "library",
     "task_failed",
     "task_restarted",
@@ -47,7 +47,7 @@
 
 
 def free_port() -> int:
-    """Return a loopback port at which nobody listens, and that no outgoing connection is given."""
+    """Return a free loopback port outside the range of ephemeral ports."""
     while True:
         port = random.randrange(*LISTEN_PORTS)
         with socket.socket() as probe, suppress(OSError):
@@ -57,50 +57,50 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterSpec:
-    """What a router is started with."""
+    """The name, settings and configuration folder of a router."""
 
     name: str
     settings: dict[str, Any]
-    folder: Path  # of its configuration file
+    folder: Path  # The configuration file is written to this folder.
 
 
 class RouterProcess:
-    """One router: its configuration, its discovery agent and its process, which may be restarted."""
+    """A router with its configuration, its discovery agent and its process; the process can be restarted."""
 
     def __init__(self, oracle: Oracle, registry: EndpointRegistry, spec: RouterSpec) -> None:
         self.name = spec.name
         self.listen = f"127.0.0.1:{free_port()}"
-        self.fault_plan: dict[str, Any] = {}  # in force from the next start on
+        self.fault_plan: dict[str, Any] = {}  # Takes effect at the next start.
         self.ready = False
-        self.events: Counter[str] = Counter()  # of the log, by name
+        self.events: Counter[str] = Counter()  # number of log lines for each event name
         self._oracle = oracle
         self._registry = registry
         self._settings = spec.settings
         self._file = spec.folder / f"{spec.name}.json"
         self._process: asyncio.subprocess.Process | None = None
         self._stopping = False
-        self.terminated_at: float | None = None  # when its process was sent SIGTERM
-        self._recent_lines: deque[str] = deque(maxlen=RECENT_LINES)
-        self._log_readable = asyncio.Event()  # cleared while nobody reads the log
+        self.terminated_at: float | None = None  # time at which SIGTERM was sent to the process
+        self._recent_lines: deque[str] = deque(maxlen=RECENT_LOG_LINES)
+        self._log_readable = asyncio.Event()  # Cleared while log reading is paused.
         self._log_readable.set()
         self._tasks = BackgroundTasks()
         self.agent = self._new_agent()
 
     @property
     def process(self) -> asyncio.subprocess.Process:
-        """Return the latest process; raise a RuntimeError where none was started."""
+        """Return the latest process; raise a RuntimeError if none was started."""
         if self._process is None:
             raise RuntimeError(f"router {self.name}: not started")
         return self._process
 
     @property
     def is_running(self) -> bool:
-        """Return whether its process runs."""
+        """Return whether the latest process is running."""
         return self.process.returncode is None
 
     async def start(self) -> None:
-        """Start a process and wait until it is ready."""
-        self.agent.reset()  # what still goes to the process before is delivered to nobody
+        """Start a process, and wait until the router is ready."""
+        self.agent.reset()  # Responses to the previous process must not count as delivered.
         self._oracle.drains.router_restarted(self.name)
         if not self.agent.is_started:
             await self.agent.start()
@@ -125,17 +125,18 @@
         self._tasks.spawn(self._check_exit(process))
         await self._wait_until_ready()
 
-    async def stop(self, series: Sequence[signal.Signals] = (signal.SIGTERM,)) -> None:
-        """Stop it by signals, one of them SIGTERM, as at a planned restart; kill it at the page's earliest.
+    async def stop(self, signals: Sequence[signal.Signals] = (signal.SIGTERM,)) -> None:
+        """Stop the router with signals, as in a planned restart, and wait for its exit.
 
-        Clients use the connections that stay open until then."""
+        One of the signals is SIGTERM. If the router does not exit, SIGKILL follows at the earliest time that
+        the protocol permits. Clients use their open connections until then."""
         self._stopping = True
-        for number in series:
+        for number in signals:
             self.signal(number)
             if number is signal.SIGTERM and self.terminated_at is None:
                 self.terminated_at = self._oracle.clock.now
-            await asyncio.sleep(SERIES_INTERVAL)
-        await asyncio.sleep(ACCEPTED_AFTER_TERM)
+            await asyncio.sleep(SIGNAL_INTERVAL)
+        await asyncio.sleep(NEW_CONNECTION_GRACE)
         self.ready = False
         remaining = STOP_TIMEOUT - (self._oracle.clock.now - (self.terminated_at or 0.0))
         try:
@@ -144,17 +145,18 @@
         except TimeoutError:
             await self.kill()
 
-    def owes_answer_at_kill(self, written_at: float, deadline: float) -> bool:
+    def must_answer_before_kill(self, written_at: float, deadline: float) -> bool:
         """Return whether a request had to be answered before the SIGKILL of a planned restart.
 
-        One that came long after SIGTERM is lost; the time of the others must be over, as it counts."""
+        This holds for each request that was written more than STOP_GRACE after SIGTERM. It holds for other
+        requests if their deadline ends before the SIGKILL."""
         if self.terminated_at is None:
             return False
-        came_late = written_at > self.terminated_at + STOP_GRACE
-        return came_late or deadline < self.terminated_at + STOP_TIMEOUT
+        is_late = written_at > self.terminated_at + STOP_GRACE
+        return is_late or deadline < self.terminated_at + STOP_TIMEOUT
 
     async def kill(self) -> None:
-        """Kill it at once; endpoints free what it had leased."""
+        """Kill the process with SIGKILL; the oracle excuses its leases, because endpoints free them later."""
         self.ready = False
         self._stopping = True
         self._oracle.leases.router_killed(self.name)
@@ -162,7 +164,7 @@
         await self.process.wait()
 
     async def reload(self) -> None:
-        """Move discovery to another address with a new configuration, and close the old one later."""
+        """Reload a configuration with a new discovery address; the old address keeps answering for a time."""
         old_agent = self.agent
         self.agent = self._new_agent()
         await self.agent.start()
@@ -172,22 +174,22 @@
         old_agent.stop()
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to its process, if that still runs."""
+        """Send a signal to the process if it is still running."""
         if self.is_running:
             self.process.send_signal(number)
 
     def stop_reading_log(self) -> None:
-        """Leave its log unread, so that the pipe fills."""
+        """Pause reading the log, so that the pipe fills up."""
         self._log_readable.clear()
 
     def resume_reading_log(self) -> None:
-        """Read its log again."""
+        """Resume reading the log."""
         self._log_readable.set()
 
     def close_log(self) -> None:
-        """Close the reading end of its log for good."""
+        """Close the reading end of the log pipe permanently."""
         # asyncio offers no public way to close one pipe of a process.
-        transport = self.process._transport  # type: ignore[attr-defined]  # private, see above
+        transport = self.process._transport  # type: ignore[attr-defined]  # private attribute
         transport.get_pipe_transport(2).close()
 
     def _new_agent(self) -> DiscoveryAgent:
@@ -197,7 +199,7 @@
         return DiscoveryAgent(self._registry, on_drain_delivered)
 
     def _write_configuration(self) -> None:
-        """Replace the configuration file."""
+        """Write the configuration file and replace the old file atomically."""
         configuration = {
             "name": self.name,
             "listen": self.listen,
@@ -216,13 +218,13 @@
         started_at = clock.now
         while not await self._probe_readiness():
             if clock.now - started_at > START_TIMEOUT + clock.scheduling_delay:
-                self._oracle.violations.add(Rule.CRASH, self.name, "not ready in time")
+                self._oracle.violations.add(Rule.CRASH, self.name, f"not ready within {START_TIMEOUT} s")
                 return
             await asyncio.sleep(READINESS_INTERVAL)
         self.ready = True
 
     async def _probe_readiness(self) -> bool:
-        """Return whether it answers that it is ready."""
+        """Return whether the router answers a readiness probe with 200."""
         host, port = self.listen.split(":")
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -239,30 +241,30 @@
         return answer is not None and answer.status == 200
 
     async def _check_log(self, process: asyncio.subprocess.Process) -> None:
-        """Read a process's log while it is readable, count its events and report its faults."""
+        """Read the log of a process, count its events, and report malformed lines and internal errors."""
         if process.stderr is None:
-            raise RuntimeError(f"router {self.name}: its log is not piped")
+            raise RuntimeError(f"router {self.name}: standard error is not piped")
         while line := await process.stderr.readline():
             await self._log_readable.wait()
             self._recent_lines.append(line.decode(errors="replace").strip())
             try:
                 event = orjson.loads(line)["event"]
             except (orjson.JSONDecodeError, KeyError, TypeError):
-                detail = f"a line of the log is malformed: {line[:200]!r}"
+                detail = f"malformed log line: {line[:200]!r}"
                 self._oracle.violations.add(Rule.FAULT, self.name, detail)
                 continue
             self.events[event] += 1
-            if event in FAULT_EVENTS:
+            if event in INTERNAL_ERROR_EVENTS:
                 self._oracle.violations.add(Rule.FAULT, self.name, line.decode()[:500])
 
     async def _check_exit(self, process: asyncio.subprocess.Process) -> None:
-        """Report a process that ends by itself, or with an unexpected status."""
+        """Report a process that exits unexpectedly or with an unexpected status."""
         status = await process.wait()
         if not self._stopping or status not in (0, -signal.SIGKILL):
-            self._report_crash(f"ended with {status}")
+            self._report_crash(f"exited with status {status}")
         self.ready = False
 
-    def _report_crash(self, what: str) -> None:
-        """Report a crash with the last lines of the log."""
-        detail = f"{what}: {list(self._recent_lines)[-3:]}"
+    def _report_crash(self, reason: str) -> None:
+        """Report a crash with the last log lines."""
+        detail = f"{reason}: {list(self._recent_lines)[-3:]}"
         self._oracle.violations.add(Rule.CRASH, self.name, detail)
