--- a/llm_router/emulator/oracle/__init__.py
+++ b/llm_router/emulator/oracle/__init__.py
@@ -1,6 +1,7 @@
-"""Check the routing protocol from what endpoints, discovery and clients observe, not from a router's view.
+"""Check the rules of the routing protocol against the observations of endpoints, discovery and clients.
 
-All times are seconds of the event loop's clock, which is monotonic."""
+The oracle does not rely on reports of the router itself. All times are in seconds of the event loop's
+monotonic clock."""
 
 from llm_router.emulator.oracle.oracle import Oracle
 from llm_router.emulator.oracle.traffic_record import Idempotency
--- a/llm_router/emulator/oracle/attempt_checks.py
+++ b/llm_router/emulator/oracle/attempt_checks.py
@@ -1,4 +1,4 @@
-"""Check each attempt when its first bytes arrive at an endpoint."""
+"""Check each attempt when its first bytes arrive at the proxy of an endpoint."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from llm_router.emulator.oracle.traffic_record import RequestRecord, TrafficRecord
 from llm_router.emulator.oracle.violations import Rule, ViolationLog
 
-DEADLINE_SLACK = 0.15  # seconds that an endpoint may be told beyond what the client has left
-DISCONNECT_SLACK = 0.1  # seconds after a client's disconnect in which an attempt may still begin
+DEADLINE_SLACK = 0.15  # seconds by which an attempt's time remaining may exceed the client's
+DISCONNECT_SLACK = 0.1  # seconds after a client's disconnect during which an attempt may still start
 
 
 class AttemptChecks:
-    """Checks of an attempt against its client's state, its deadline and its endpoint's drain."""
+    """Checks of an attempt against its client's connection, its deadline and its endpoint's drain."""
 
     def __init__(
         self, traffic: TrafficRecord, clock: OracleClock, violations: ViolationLog, drains: DrainCheck
@@ -23,10 +23,10 @@
         self._drains = drains
 
     def attempt_started(self, request_id: str, endpoint: str, time_remaining: float | None) -> None:
-        """Check an attempt that tells its endpoint how many seconds remain, None where it does not."""
+        """Check an attempt; `time_remaining` is in seconds, None if the attempt has no such header."""
         record = self._traffic.requests.get(request_id)
         if record is None:
-            self._violations.add(Rule.DUPLICATE, endpoint, f"{request_id} was never requested")
+            self._violations.add(Rule.DUPLICATE, endpoint, f"{request_id}: attempt for an unknown request")
             return
         self._traffic.counts["attempts"] += 1
         self._check_client_connected(record)
@@ -39,7 +39,7 @@
             return
         late = self._clock.now - record.disconnected_at
         if late > DISCONNECT_SLACK + self._clock.proxy_delay:
-            detail = f"{record.id}: {late:.3f} s after its client disconnected"
+            detail = f"{record.id}: attempt {late:.3f} s after its client disconnected"
             self._violations.add(Rule.DISCONNECTED, record.router, detail)
 
     def _check_deadline(self, record: RequestRecord, time_remaining: float) -> None:
@@ -47,5 +47,5 @@
             return
         excess = time_remaining - (record.deadline - self._clock.now)
         if excess > DEADLINE_SLACK + self._clock.proxy_delay:
-            detail = f"{record.id}: the endpoint was told {excess:.3f} s too much"
+            detail = f"{record.id}: the time remaining of an attempt is {excess:.3f} s too long"
             self._violations.add(Rule.DEADLINE, record.router, detail)
--- a/llm_router/emulator/oracle/client_checks.py
+++ b/llm_router/emulator/oracle/client_checks.py
@@ -1,4 +1,4 @@
-"""Check that each accepted request gets its answer in time."""
+"""Check that each request gets its final answer in time, and that stream events are not delayed."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from llm_router.emulator.oracle.traffic_record import Idempotency, RequestRecord, TrafficRecord
 from llm_router.emulator.oracle.violations import Rule, ViolationLog
 
-ANSWER_SLACK = 0.5  # seconds after its deadline in which a request may still get its final answer
-EVENT_SLACK = 0.3  # seconds from the writing of an event by its endpoint to its arrival at the client
+ANSWER_SLACK = 0.5  # seconds after the deadline within which the final answer may still arrive
+EVENT_SLACK = 0.3  # maximum seconds from an endpoint's write of an event to its arrival at the client
 
 
 class ClientChecks:
-    """Checks over what clients observe."""
+    """Checks of the observations of clients."""
 
     def __init__(self, traffic: TrafficRecord, clock: OracleClock, violations: ViolationLog) -> None:
         self._traffic = traffic
@@ -19,30 +19,30 @@
         self._violations = violations
 
     def request_started(self, request_id: str, router: str, idempotency: Idempotency) -> RequestRecord:
-        """Record a request that a client begins to write."""
+        """Record that a client starts to write a request."""
         self._traffic.counts["requests"] += 1
         record = RequestRecord(request_id, router, idempotency)
         self._traffic.requests[request_id] = record
         return record
 
     def request_written(self, request_id: str, time_remaining: float) -> None:
-        """Record that a request's last byte was written; its client gives up after that many seconds."""
+        """Record that a request was fully written; its client gives up `time_remaining` seconds later."""
         record = self._traffic.requests[request_id]
         record.written_at = self._clock.now
         record.deadline = record.written_at + time_remaining
 
     def client_disconnected(self, request_id: str) -> None:
-        """Record that a client closes its connection."""
+        """Record that a client disconnected, unless it already has the final answer."""
         record = self._traffic.requests[request_id]
         if not record.answered and record.disconnected_at is None:
             record.disconnected_at = self._clock.now
 
     def request_abandoned(self, request_id: str) -> None:
-        """Record that a client expects no answer any more, since the test killed or cut off its router."""
+        """Record that a client expects no final answer, because its router was killed or is unreachable."""
         self._traffic.requests[request_id].disconnected_at = self._clock.now
 
     def response_received(self, request_id: str, status: int) -> None:
-        """Record a final answer: by its first byte for a stream, by its last byte for any other."""
+        """Record a final answer, and check that it arrives before its deadline plus ANSWER_SLACK."""
         record = self._traffic.requests[request_id]
         self._traffic.counts[f"answer {status}"] += 1
         record.answered = True
@@ -53,16 +53,22 @@
             )
 
     def closed_unanswered(self, request_id: str, reason: str) -> None:
-        """Record that a router closed the connection of a written request without an answer."""
+        """Report a request as lost if it has no final answer and its client has not disconnected."""
         record = self._traffic.requests[request_id]
         if record.disconnected_at is None and not record.answered:
             self._violations.add(Rule.LOST, record.router, f"{request_id}: {reason}")
 
     def event_received(self, request_id: str, endpoint: str, written_at: float) -> None:
-        """Check how long an event took to its client, unless its endpoint was unreachable meanwhile."""
-        took = self._clock.now - written_at
-        if took <= EVENT_SLACK + self._clock.scheduling_delay:
+        """Check the delay from an endpoint's write of an event to its arrival at the client.
+
+        A delay is excused if a network partition of the endpoint ended after the write."""
+        delay = self._clock.now - written_at
+        if delay <= EVENT_SLACK + self._clock.scheduling_delay:
             return
         if self._traffic.unreachable_until.get(endpoint, 0.0) < written_at:
             router = self._traffic.requests[request_id].router
-            self._violations.add(Rule.EVENT, router, f"{request_id}: an event took {took:.3f} s")
+            self._violations.add(
+                Rule.EVENT,
+                router,
+                f"{request_id}: an event arrived {delay:.3f} s after its endpoint wrote it",
+            )
--- a/llm_router/emulator/oracle/drain_check.py
+++ b/llm_router/emulator/oracle/drain_check.py
@@ -1,4 +1,4 @@
-"""Check that a draining endpoint gets no new attempts after the drain grace."""
+"""Check that a draining endpoint gets no new attempts after the drain grace period."""
 
 from __future__ import annotations
 
@@ -6,35 +6,37 @@
 from llm_router.emulator.oracle.traffic_record import RequestRecord
 from llm_router.emulator.oracle.violations import Rule, ViolationLog
 
-DELIVERY_LIMIT = 6.0  # seconds after which a change in discovery counts as delivered, received or not
+DELIVERY_LIMIT = 6.0  # seconds after which an announced drain counts as delivered in any case
 
 
 class DrainCheck:
-    """The check of attempts against announced drains."""
+    """The check of attempts against the drains that discovery announced."""
 
     def __init__(self, drain_grace: float, clock: OracleClock, violations: ViolationLog) -> None:
         self._drain_grace = drain_grace
         self._clock = clock
         self._violations = violations
-        self._announced_at: dict[str, float] = {}  # by endpoint
-        self._delivered_at: dict[tuple[str, str], float] = {}  # by router and endpoint
+        self._announced_at: dict[str, float] = {}  # times of announced drains, keyed by endpoint
+        self._delivered_at: dict[
+            tuple[str, str], float
+        ] = {}  # times of deliveries, keyed by router and endpoint
 
     def drain_announced(self, endpoint: str) -> None:
-        """Record that discovery learned of a drain."""
+        """Record that the endpoint list in discovery now shows an endpoint as draining."""
         self._announced_at.setdefault(endpoint, self._clock.now)
 
     def drain_delivered(self, router: str, endpoint: str) -> None:
-        """Record that a drain was written to a router."""
+        """Record that discovery sent an endpoint's drain to a router."""
         self._delivered_at.setdefault((router, endpoint), self._clock.now)
 
     def router_restarted(self, router: str) -> None:
-        """Forget what was delivered to a router before its restart."""
+        """Delete the record of drains that were delivered to a router before its restart."""
         delivered = [key for key in self._delivered_at if key[0] == router]
         for key in delivered:
             del self._delivered_at[key]
 
     def attempt_started(self, record: RequestRecord, endpoint: str) -> None:
-        """Check whether an endpoint may still get a new attempt from the request's router."""
+        """Check that a new attempt does not reach its endpoint after the end of the drain grace period."""
         announced_at = self._announced_at.get(endpoint)
         if announced_at is None:
             return
@@ -42,5 +44,5 @@
         known_at = min(latest, self._delivered_at.get((record.router, endpoint), latest))
         late = self._clock.now - known_at - self._drain_grace
         if late > self._clock.scheduling_delay:
-            detail = f"{record.id} to {endpoint}, {late:.3f} s too late"
+            detail = f"{record.id}: attempt at draining {endpoint}, {late:.3f} s after the drain grace"
             self._violations.add(Rule.DRAIN, record.router, detail)
--- a/llm_router/emulator/oracle/oracle.py
+++ b/llm_router/emulator/oracle/oracle.py
@@ -1,4 +1,4 @@
-"""Compose the checks of the protocol's rules over one record of the traffic."""
+"""Combine the checks of all protocol rules over one shared traffic record."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Oracle:
-    """The record of all requests, and one check for each concern of the protocol.
+    """The checker of the protocol rules, with one check for each group of rules.
 
-    Emulated clients, endpoints and discovery report each step to the check concerned as it happens."""
+    Emulated clients, endpoints and discovery report each step to the matching check as it happens."""
 
     def __init__(
         self, release_timeout: float, drain_grace: float, time: Callable[[], float] | None = None
     ) -> None:
-        """Take the limits of the settings in seconds; `time` is by default that of the running loop."""
+        """Create an oracle; limits are in seconds, and `time` defaults to the running event loop's clock."""
         self.clock = OracleClock(time or asyncio.get_running_loop().time)
         self.traffic = TrafficRecord()
         self.violations = ViolationLog(self.clock)
@@ -35,6 +35,6 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no attempt is in flight and nothing is leased."""
+        """Return whether no request has an attempt in flight or leased resources."""
         requests = self.traffic.requests.values()
         return not any(request.leased or request.has_attempt_in_flight for request in requests)
--- a/llm_router/emulator/oracle/slow_start_check.py
+++ b/llm_router/emulator/oracle/slow_start_check.py
@@ -1,4 +1,4 @@
-"""Check that an endpoint in slow start gets no more calls than its budget."""
+"""Check that an endpoint in slow start gets no more attempts than its budget."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from llm_router.emulator.oracle.oracle_clock import OracleClock
 from llm_router.emulator.oracle.violations import Rule, ViolationLog
 
-SMALL_BUDGET = 30  # calls: under so many, the budget allows more for chance
+SMALL_BUDGET = 30  # attempts; a budget below this number has a larger tolerance for random variation
 
 
 def slow_start_budget(allowed_calls: float) -> float:
-    """Return how many calls an endpoint in slow start can take in the overload window.
+    """Return the maximum number of attempts in one overload window for an endpoint in slow start.
 
-    `allowed_calls` is the mean that the settings allow; the rest is what chance may add to it."""
+    The budget is `allowed_calls`, the mean number that the settings allow, plus a tolerance for random
+    variation."""
     if allowed_calls < SMALL_BUDGET:
         return allowed_calls + 3 * sqrt(allowed_calls) + 3
     return allowed_calls + 2 * sqrt(allowed_calls) + 2
@@ -23,15 +24,15 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStart:
-    """The slow start of one endpoint."""
+    """The slow start of one endpoint, with the limits that apply until its end."""
 
     ends_at: float
-    allowed_calls: float  # in one overload window
+    allowed_calls: float  # mean number of attempts in one overload window
     overload_window: float  # seconds
 
 
 class SlowStartCheck:
-    """The check of one endpoint's calls against its budget."""
+    """The check of one endpoint's attempts against its slow-start budget."""
 
     def __init__(
         self, endpoint: str, slow_start: SlowStart, clock: OracleClock, violations: ViolationLog
@@ -40,10 +41,10 @@
         self._slow_start = slow_start
         self._clock = clock
         self._violations = violations
-        self._calls: deque[float] = deque()  # when calls of the last overload window came
+        self._calls: deque[float] = deque()  # arrival times of the attempts in the last overload window
 
     def call_received(self, request_id: str) -> None:
-        """Check a call that arrives now; no check is made once slow start is over."""
+        """Count an attempt that arrives now, and check the budget while slow start lasts."""
         now = self._clock.now
         window = self._slow_start.overload_window
         if now > self._slow_start.ends_at:
@@ -52,6 +53,6 @@
         while self._calls[0] < now - window:
             self._calls.popleft()
         if len(self._calls) > slow_start_budget(self._slow_start.allowed_calls):
-            detail = f"{len(self._calls)} calls in {window} s, last {request_id}"
+            detail = f"{len(self._calls)} attempts in {window} s, the last for {request_id}"
             self._violations.add(Rule.SLOW_START, self._endpoint, detail)
             self._calls.clear()
--- a/llm_router/emulator/oracle/traffic_record.py
+++ b/llm_router/emulator/oracle/traffic_record.py
@@ -1,4 +1,4 @@
-"""Hold what clients and endpoints observed of each request."""
+"""Store the observations of clients and endpoints for each request."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Idempotency(Enum):
-    """How far a request may be repeated once it may have run; the values are those of the settings."""
+    """Whether a request may run a second time; the values are those of the router's settings."""
 
     SAFE = "pure"
     NONE = "side_effect"
 
 
 class ResourceKind(Enum):
-    """What an endpoint can hold for a request."""
+    """A kind of resource that an endpoint can hold for a request."""
 
     KV_STATE = "KV state"
     RESERVATION = "reservation"
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeasedResource:
-    """Something that one endpoint holds for a request."""
+    """KV state or a reservation that one endpoint holds for a request."""
 
     kind: ResourceKind
     endpoint: str
@@ -34,34 +34,34 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """What was observed of one request."""
+    """The observations of one request."""
 
     id: str
     router: str
     idempotency: Idempotency
-    deadline: float | None = None  # when its client gives up; None until its last byte was written
-    written_at: float = 0.0  # when its last byte was written
-    disconnected_at: float | None = None
-    answered: bool = False
-    prefills: int = 0  # in flight
-    decodes: int = 0  # in flight
-    decodes_before_first_token: int = 0  # in flight: what is leased belongs to them
-    overlap_began_at: float | None = None  # since when two attempts are in flight
-    may_have_run: bool = False  # at a decode endpoint
+    deadline: float | None = None  # time at which the client gives up; None until the request is written
+    written_at: float = 0.0  # time at which the last byte of the request was written
+    disconnected_at: float | None = None  # time at which the client closed its connection
+    answered: bool = False  # The client has received the final answer or its head.
+    prefills: int = 0  # number of prefill attempts in flight
+    decodes: int = 0  # number of decode attempts in flight
+    decodes_before_first_token: int = 0  # decode attempts in flight without a token; they claim the leases
+    overlap_began_at: float | None = None  # start of the time with two attempts in flight
+    may_have_run: bool = False  # A decode attempt has started.
     leased: set[LeasedResource] = field(default_factory=set)
-    lease_timer_started_at: float | None = None  # None while the release timeout does not run
-    router_killed: bool = False  # endpoints free what it had leased some seconds later
+    lease_timer_started_at: float | None = None  # start of the release timeout, or None
+    router_killed: bool = False  # Endpoints free resources of a killed router some seconds later.
 
     @property
     def has_attempt_in_flight(self) -> bool:
-        """Return whether an endpoint works on an attempt of the request."""
+        """Return whether an endpoint is processing an attempt of the request."""
         return self.prefills > 0 or self.decodes > 0
 
 
 class TrafficRecord:
-    """All requests, and what else was observed of the traffic."""
+    """The records of all requests, with event counts and the partitions of endpoints."""
 
     def __init__(self) -> None:
         self.requests: dict[str, RequestRecord] = {}
         self.counts: Counter[str] = Counter()
-        self.unreachable_until: dict[str, float] = {}  # by endpoint: the end of its last network partition
+        self.unreachable_until: dict[str, float] = {}  # end of the last network partition, keyed by endpoint
