--- a/llm_router/emulator/oracle/slow_start_check.py
+++ b/llm_router/emulator/oracle/slow_start_check.py
@@ -12,14 +12,14 @@
 SMALL_BUDGET = 30  # attempts; a budget below this number has a larger tolerance for random variation
 
 
-def slow_start_budget(allowed_calls: float) -> float:
+def slow_start_budget(allowed_attempts: float) -> float:
     """Return the maximum number of attempts in one overload window for an endpoint in slow start.
 
-    The budget is `allowed_calls`, the mean number that the settings allow, plus a tolerance for random
+    The budget is `allowed_attempts`, the mean number that the settings allow, plus a tolerance for random
     variation."""
-    if allowed_calls < SMALL_BUDGET:
-        return allowed_calls + 3 * sqrt(allowed_calls) + 3
-    return allowed_calls + 2 * sqrt(allowed_calls) + 2
+    if allowed_attempts < SMALL_BUDGET:
+        return allowed_attempts + 3 * sqrt(allowed_attempts) + 3
+    return allowed_attempts + 2 * sqrt(allowed_attempts) + 2
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
     """The slow start of one endpoint, with the limits that apply until its end."""
 
     ends_at: float
-    allowed_calls: float  # mean number of attempts in one overload window
+    allowed_attempts: float  # mean number of attempts in one overload window
     overload_window: float  # seconds
 
 
@@ -52,7 +52,7 @@
         self._calls.append(now)
         while self._calls[0] < now - window:
             self._calls.popleft()
-        if len(self._calls) > slow_start_budget(self._slow_start.allowed_calls):
+        if len(self._calls) > slow_start_budget(self._slow_start.allowed_attempts):
             detail = f"{len(self._calls)} attempts in {window} s, the last for {request_id}"
             self._violations.add(Rule.SLOW_START, self._endpoint, detail)
             self._calls.clear()
--- a/llm_router/emulator/soak/endpoint_faults.py
+++ b/llm_router/emulator/soak/endpoint_faults.py
@@ -164,6 +164,6 @@
         mean_calls = size.routers * size.rate / ENDPOINTS_OF_KIND * OVERLOAD_WINDOW
         return SlowStart(
             ends_at=self._clock.now + SLOW_START_WINDOW,
-            allowed_calls=OVERLOAD_FACTOR * SLOW_START_SHARE * mean_calls,
+            allowed_attempts=OVERLOAD_FACTOR * SLOW_START_SHARE * mean_calls,
             overload_window=OVERLOAD_WINDOW,
         )
