--- a/llm_router/emulator/endpoint.py
+++ b/llm_router/emulator/endpoint.py
@@ -292,7 +292,7 @@
     def _check_slow_start(self, request_id: str) -> None:
         """Check an attempt against the slow-start budget if the endpoint is in slow start."""
         if self._slow_start is not None:
-            self._slow_start.call_received(request_id)
+            self._slow_start.attempt_received(request_id)
 
     async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Stream a response; stop early if the router disconnects or the behaviour breaks the stream.
--- a/llm_router/emulator/oracle/slow_start_check.py
+++ b/llm_router/emulator/oracle/slow_start_check.py
@@ -41,18 +41,18 @@
         self._slow_start = slow_start
         self._clock = clock
         self._violations = violations
-        self._calls: deque[float] = deque()  # arrival times of the attempts in the last overload window
+        self._attempts: deque[float] = deque()  # arrival times of the attempts in the last overload window
 
-    def call_received(self, request_id: str) -> None:
+    def attempt_received(self, request_id: str) -> None:
         """Count an attempt that arrives now, and check the budget while slow start lasts."""
         now = self._clock.now
         window = self._slow_start.overload_window
         if now > self._slow_start.ends_at:
             return
-        self._calls.append(now)
-        while self._calls[0] < now - window:
-            self._calls.popleft()
-        if len(self._calls) > slow_start_budget(self._slow_start.allowed_attempts):
-            detail = f"{len(self._calls)} attempts in {window} s, the last for {request_id}"
+        self._attempts.append(now)
+        while self._attempts[0] < now - window:
+            self._attempts.popleft()
+        if len(self._attempts) > slow_start_budget(self._slow_start.allowed_attempts):
+            detail = f"{len(self._attempts)} attempts in {window} s, the last for {request_id}"
             self._violations.add(Rule.SLOW_START, self._endpoint, detail)
-            self._calls.clear()
+            self._attempts.clear()
