--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: each prints ratios from one run and asserts nothing."""
+"""Benchmarks that print ratios from one run and check no limits."""
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,10 +1,10 @@
-"""Print what a request and a change of the endpoint list cost in fleets of different sizes, as ratios.
+"""Measure the CPU time of a request and of an endpoint list change in fleets of different sizes.
 
     .venv/bin/python -m benchmarks.fleet_cost [--sizes 100,400,1600,3200] [--routers 200]
 
-CPU time of this process, the median over rounds. `policy` is the routing policy alone, `reducer` is the
-reducer of the lifecycle with the policy. A request is one prefill and one decode attempt to the end of its
-answer; a change replaces one endpoint."""
+Each row shows the median CPU time of this process over many rounds, and its ratio to the smallest fleet. The
+layer `policy` is the routing policy alone; the layer `reducer` is the lifecycle's reducer with the policy. A
+request consists of a prefill attempt and a decode attempt. A change replaces one endpoint by another."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000  # nanoseconds
-CELL = 6  # endpoints
-REQUEST_INTERVAL = 30 * MS  # as at a busy router
+CELL_SIZE = 6  # endpoints per cell
+REQUEST_INTERVAL = 30 * MS  # simulated time between two requests, as at a busy router
 WARM_UP_ROUNDS = 100
 REQUEST_ROUNDS = 300
 CHANGE_ROUNDS = 60
@@ -41,7 +41,7 @@
 
 
 def settings(routers: int) -> Settings:
-    """Return a customer's settings with one class."""
+    """Return router settings with one request class."""
     return Settings(
         kinds=tuple(KindSettings(name, role, 200_000) for name, role in ROLES.items()),
         classes=(ClassSettings("chat", 1500 * MS, 7500 * MS, Idempotency.SAFE),),
@@ -61,20 +61,22 @@
 
 
 def endpoint(number: int, status: EndpointStatus = EndpointStatus.READY) -> Endpoint:
-    """Return an endpoint of a fleet, half of each role in each cell."""
+    """Return an endpoint of the lifecycle; roles alternate, so that each cell has half of each role."""
     kind = "prefill" if number % 2 else "decode"
-    return Endpoint(f"s-{number:06d}", f"127.0.0.1:{1 + number % 60_000}", "z", kind, number // CELL, status)
+    return Endpoint(
+        f"s-{number:06d}", f"127.0.0.1:{1 + number % 60_000}", "z", kind, number // CELL_SIZE, status
+    )
 
 
 def entry(number: int, status: EndpointStatus = EndpointStatus.READY) -> routing_events.EndpointEntry:
-    """Return an endpoint as the policy knows it."""
+    """Return an endpoint as an entry of the routing policy's endpoint list."""
     known = endpoint(number, status)
     return routing_events.EndpointEntry(number, known.kind, known.zone, known.cell, known.status)
 
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """CPU milliseconds of one request and of one change, and the peak memory of a fleet's state in KiB."""
+    """The CPU time of one request and of one change in ms, and the peak memory of a fleet's state in KiB."""
 
     request_ms: float
     change_ms: float
@@ -82,17 +84,17 @@
 
 
 class Workload(Protocol):
-    """What is measured over a fleet of one size."""
+    """The interface through which a layer of the router is measured with a fleet of one size."""
 
     def serve_request(self) -> None:
-        """Take one request to its end."""
+        """Process one request until its response is complete."""
 
     def replace_endpoint(self) -> None:
-        """Replace one endpoint by another."""
+        """Replace one endpoint by a new one in the endpoint list."""
 
 
 class PolicyWorkload:
-    """The routing policy alone."""
+    """Drives the routing policy alone."""
 
     def __init__(self, size: int, routers: int) -> None:
         self._policy = RoutingPolicy(settings(routers), seed=7)
@@ -103,7 +105,7 @@
         self._policy.handle(self._now, routing_events.EndpointListUpdate(entries, is_full=True))
 
     def serve_request(self) -> None:
-        """Take one request to its end."""
+        """Process one request until its response is complete."""
         self._now += REQUEST_INTERVAL
         request_id = f"r{next(self._numbers)}"
         received = routing_events.RequestReceived(
@@ -124,7 +126,7 @@
         self._policy.handle(self._now, decoded)
 
     def replace_endpoint(self) -> None:
-        """Replace one endpoint by another."""
+        """Replace one endpoint by a new one in the endpoint list."""
         number = next(self._numbers)
         removed = entry(number % self._size, EndpointStatus.REMOVED)
         added = entry(self._size + number)
@@ -132,13 +134,13 @@
         self._policy.handle(self._now, update)
 
     def _handle_and_start(self, event: routing_events.Event) -> routing_actions.StartAttempt:
-        """Handle an event upon which the policy starts an attempt."""
+        """Handle an event, and return the attempt that the policy starts."""
         actions = self._policy.handle(self._now, event)
         return next(action for action in actions if isinstance(action, routing_actions.StartAttempt))
 
 
 class ReducerWorkload:
-    """The lifecycle reducer with the routing policy."""
+    """Drives the lifecycle's reducer with the routing policy."""
 
     def __init__(self, size: int, routers: int) -> None:
         fleet_settings = settings(routers)
@@ -151,7 +153,7 @@
         self._reduce(events.EndpointListReceived(endpoints, True))
 
     def serve_request(self) -> None:
-        """Take one request to its end."""
+        """Process one request until its response is complete."""
         self._now += timedelta(milliseconds=30)
         request_id = f"r{next(self._numbers)}"
         self._reduce_and_open(
@@ -166,18 +168,18 @@
         self._reduce(events.AttemptEnded(request_id, 1, AttemptStatus.OK))
 
     def replace_endpoint(self) -> None:
-        """Replace one endpoint by another."""
+        """Replace one endpoint by a new one in the endpoint list."""
         number = next(self._numbers)
         removed = endpoint(number % self._size, EndpointStatus.REMOVED)
         added = endpoint(self._size + number)
         self._reduce(events.EndpointListReceived((removed, added), False))
 
     def _reduce(self, event: events.Event) -> list[effects.Effect]:
-        """Reduce an event."""
+        """Pass an event to the reducer, and return its effects."""
         return reduce(self._state, self._now, event)
 
     def _reduce_and_open(self, event: events.Event) -> effects.OpenAttempt:
-        """Reduce an event upon which an attempt is opened."""
+        """Pass an event to the reducer, and return the effect that opens an attempt."""
         return next(effect for effect in self._reduce(event) if isinstance(effect, effects.OpenAttempt))
 
 
@@ -188,7 +190,7 @@
 
 
 def median_cpu_ms(work: Callable[[], None], rounds: int) -> float:
-    """Return the median CPU time of one round in milliseconds."""
+    """Call a function repeatedly, and return the median CPU time of a call in milliseconds."""
     times = []
     for _ in range(rounds):
         started_at = time.process_time_ns()
@@ -198,7 +200,7 @@
 
 
 def measure(workload: Callable[[int, int], Workload], size: int, routers: int) -> Cost:
-    """Measure one workload over a fleet of one size."""
+    """Measure the cost of one workload with a fleet of one size."""
     gc.collect()
     tracemalloc.start()
     workload(size, routers)
@@ -212,14 +214,14 @@
 
 
 def format_line(name: str, size: int, cost: Cost, smallest: Cost) -> str:
-    """Return a line of the table, with ratios to the smallest fleet."""
+    """Return one table row with ratios to the smallest fleet."""
     request = f"{cost.request_ms:10.3f}  {cost.request_ms / smallest.request_ms:5.2f}"
     change = f"{cost.change_ms:9.3f}  {cost.change_ms / smallest.change_ms:5.2f}"
     return f"{name:10} {size:9}  {request}  {change}  {cost.memory_kib:10.0f}"
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure all workloads and fleet sizes, and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", default="100,400,1600,3200")
     parser.add_argument("--routers", type=int, default=200)
--- a/benchmarks/fleet_footprint.py
+++ b/benchmarks/fleet_footprint.py
@@ -1,10 +1,11 @@
-"""Print what a real router needs in fleets of different sizes, as ratios to the smallest in one run.
+"""Measure the resource usage of a router process in fleets of different sizes.
 
     .venv/bin/python -m benchmarks.fleet_footprint [--sizes 100,400,1600,3200] [--seconds 30] [--overloaded]
 
-One router of 200 serves the same traffic each time; one endpoint a second is replaced by another. CPU seconds
-and peak memory are the process's own, connections those that endpoints accepted, list bytes those that
-discovery wrote after the first list. `--overloaded`: each answer of discovery takes 0.9 s."""
+Each row shows the usage and its ratio to the smallest fleet. One router, configured as one of 200, serves the
+same traffic in each fleet, and one endpoint per second is replaced. CPU time and peak memory are those of the
+router process. The column `connections` counts those that endpoints accepted. The column `list KB` counts
+the bytes of endpoint lists after the warm-up. With `--overloaded`, each response of discovery takes 0.9 s."""
 
 from __future__ import annotations
 
@@ -24,29 +25,29 @@
 from llm_router.emulator.router_process import RouterProcess, RouterSpec
 from llm_router.emulator.soak.scenario import CLASSES, DRAIN_GRACE, RELEASE_TIMEOUT, Customer, router_settings
 
-ROUTERS = 200
-WARM_UP = 5.0  # seconds before anything is measured
-OVERLOADED_DELAY = 0.9  # seconds that each answer of overloaded discovery takes
-REPLACEMENT_INTERVAL = 1.0  # seconds
-SAMPLE_INTERVAL = 0.2  # seconds between two counts of descriptors
+ROUTERS = 200  # number of routers in the settings
+WARM_UP = 5.0  # seconds of traffic before the measurement
+OVERLOADED_DELAY = 0.9  # seconds before each response of overloaded discovery
+REPLACEMENT_INTERVAL = 1.0  # seconds between two replacements of an endpoint
+SAMPLE_INTERVAL = 0.2  # seconds between two counts of open file descriptors
 HEADER = "endpoints    cpu s  ratio  memory MB  ratio  fds  ratio  connections  ratio  list KB  ratio  served"
 
 
 @dataclass(slots=True, frozen=True)
 class Footprint:
-    """What one router needed."""
+    """The resource usage of one router during a measurement."""
 
     cpu_s: float
     memory_mb: float
-    descriptors: float
-    connections: float
+    descriptors: float  # maximum number of open file descriptors
+    connections: float  # number of new connections to endpoints
     list_kb: float
-    served: float  # share of the requests
+    served: float  # fraction of the requests that got a response with status 200
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What one router has used since its start."""
+    """Counters of one router since its start."""
 
     cpu_s: float
     connections: int
@@ -62,30 +63,32 @@
 
 
 def peak_memory_mb(pid: int) -> float:
-    """Return the largest resident memory of a process so far, in MB."""
+    """Return the peak resident memory of a process in MB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / 1024
 
 
 def open_descriptors(pid: int) -> int:
-    """Return how many descriptors a process has open."""
+    """Return the number of open file descriptors of a process."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
 class MeasuredFleet:
-    """A fleet of one size with one real router, and what that router uses."""
+    """A fleet of emulated endpoints with one router process whose resource usage is measured."""
 
     def __init__(self, size: int, folder: Path) -> None:
         self._size = size
         self._oracle = Oracle(RELEASE_TIMEOUT, DRAIN_GRACE)
         self._registry = EndpointRegistry(self._oracle.drains)
-        self._started: list[EmulatedEndpoint] = []  # in order; the last `size` are listed
+        self._started: list[
+            EmulatedEndpoint
+        ] = []  # in start order; only the last `size` endpoints are listed
         spec = RouterSpec("n0", router_settings(ROUTERS, 0, Customer(reservations=True)), folder)
         self._router = RouterProcess(self._oracle, self._registry, spec)
         self._clients = LoadGenerator(self._oracle, self._router, CLASSES, seed=1)
 
     async def measure(self, seconds: float, rate: float, overloaded: bool) -> Footprint:
-        """Measure the router under `rate` requests a second, after a warm-up."""
+        """Measure the router for some seconds under `rate` requests per second, after a warm-up."""
         await self._start()
         load = asyncio.ensure_future(self._clients.generate(rate))
         await asyncio.sleep(WARM_UP)
@@ -114,7 +117,7 @@
         return endpoint
 
     async def _replace_endpoints(self) -> None:
-        """Replace the oldest endpoint by a new one, and so on until cancelled."""
+        """Replace the oldest endpoint by a new one repeatedly until cancelled."""
         while True:
             await asyncio.sleep(REPLACEMENT_INTERVAL)
             oldest = self._started[-self._size]
@@ -122,7 +125,7 @@
             await self._registry.update(oldest.entry(status="Gone"), new.entry())
 
     async def _observe(self, seconds: float) -> Footprint:
-        """Return what the router needs in some seconds."""
+        """Return the resource usage of the router over some seconds."""
         pid = self._router.process.pid
         before = self._usage()
         descriptors = 0
@@ -152,14 +155,14 @@
 
 
 async def measure(size: int, options: argparse.Namespace) -> Footprint:
-    """Measure one router over a fleet of one size."""
+    """Measure the resource usage of one router with a fleet of one size."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = MeasuredFleet(size, Path(folder))
         return await fleet.measure(options.seconds, options.rate, options.overloaded)
 
 
 def format_line(size: int, footprint: Footprint, smallest: Footprint) -> str:
-    """Return a line of the table, with ratios to the smallest fleet."""
+    """Return one table row with ratios to the smallest fleet."""
     columns = []
     for value, base in zip(astuple(footprint), astuple(smallest), strict=True):
         columns.append(f"{value:11.2f}  {value / max(base, 1e-9):5.2f}")
@@ -167,13 +170,13 @@
 
 
 def main() -> None:
-    """Measure and print."""
-    logging.disable()  # asyncio reports connections that are cut at the end, which is expected
+    """Measure all fleet sizes, and print a table."""
+    logging.disable()  # asyncio logs the connections that are reset at the end of a measurement.
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", default="100,400,1600,3200")
     parser.add_argument("--seconds", type=float, default=30)
     parser.add_argument("--rate", type=float, default=10, help="requests a second")
-    parser.add_argument("--overloaded", "--crowded", action="store_true")  # the second is the old spelling
+    parser.add_argument("--overloaded", "--crowded", action="store_true")  # `--crowded` is an alias.
     options = parser.parse_args()
     print(HEADER)
     smallest: Footprint | None = None
