--- a/tests/emulator/test_fault_plan.py
+++ b/tests/emulator/test_fault_plan.py
@@ -1,4 +1,4 @@
-"""A fault plan that cannot be used is an error."""
+"""An invalid fault plan is rejected with an error instead of being ignored."""
 
 import pytest
 
--- a/tests/emulator/test_oracle.py
+++ b/tests/emulator/test_oracle.py
@@ -1,4 +1,4 @@
-"""The soak's oracle finds each violation that it is shown, and none where the rules are kept."""
+"""The oracle of the soak reports each violation of a rule, and reports none if all rules are kept."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def oracle(clock):
-    """Give an oracle that knows of a request `q` of router `n0`, written with one second remaining."""
+    """Return an oracle with a request `q` to router `n0`, written with one second of time remaining."""
     oracle = Oracle(RELEASE_TIMEOUT, DRAIN_GRACE, clock.time)
     oracle.clients.request_started("q", "n0", Idempotency.NONE)
     oracle.clients.request_written("q", 1.0)
@@ -45,7 +45,7 @@
 
 
 def serve(oracle):
-    """Play a request that is served."""
+    """Report the steps of a request that is served without faults."""
     oracle.attempts.attempt_started("q", "p", 0.9)
     oracle.executions.prefill_started("q", "p")
     oracle.executions.prefill_ended("q", "p", left_kv_state=True)
@@ -55,14 +55,14 @@
     oracle.executions.decode_ended("q", stream_began=True)
 
 
-def test_a_request_that_is_served_violates_nothing(oracle, clock):
+def test_a_served_request_violates_no_rule(oracle, clock):
     serve(oracle)
     clock.now += 9
     oracle.leases.check_all()
     assert violated_rules(oracle) == [] and oracle.is_idle
 
 
-def test_a_late_answer_and_a_close_without_one_lose_the_request(oracle, clock):
+def test_a_late_response_and_a_close_without_a_response_are_lost_requests(oracle, clock):
     clock.now += 1.6
     oracle.clients.response_received("q", 503)
     oracle.clients.request_started("q2", "n0", Idempotency.SAFE)
@@ -70,14 +70,14 @@
     assert violated_rules(oracle) == [Rule.LOST, Rule.LOST]
 
 
-def test_a_request_without_idempotency_that_may_have_run_must_not_run_twice(oracle):
+def test_a_second_decode_attempt_of_a_request_without_idempotency_is_a_duplicate(oracle):
     serve(oracle)
     oracle.executions.decode_started("q", "d")
     assert violated_rules(oracle) == [Rule.DUPLICATE]
 
 
 @pytest.mark.parametrize(("overlap", "violated"), [(0.06, [Rule.CONCURRENT]), (0.04, [])])
-def test_two_attempts_in_flight_are_a_violation_past_the_time_of_a_close(oracle, clock, overlap, violated):
+def test_two_attempts_in_flight_are_a_violation_after_the_close_grace(oracle, clock, overlap, violated):
     oracle.executions.prefill_started("q", "p")
     oracle.executions.prefill_started("q", "p2")
     clock.now += overlap
@@ -86,7 +86,7 @@
     assert violated_rules(oracle) == violated
 
 
-def test_an_attempt_after_the_client_disconnected_is_a_violation(oracle, clock):
+def test_an_attempt_after_a_disconnect_is_a_violation_after_the_slack(oracle, clock):
     oracle.clients.client_disconnected("q")
     clock.now += 0.05
     oracle.attempts.attempt_started("q", "p", None)
@@ -95,13 +95,13 @@
     assert violated_rules(oracle) == [Rule.DISCONNECTED]
 
 
-def test_an_endpoint_may_not_get_more_time_than_remains(oracle):
+def test_an_attempt_with_more_time_remaining_than_its_client_has_is_a_violation(oracle):
     oracle.attempts.attempt_started("q", "p", 1.14)
     oracle.attempts.attempt_started("q", "p", 1.16)
     assert violated_rules(oracle) == [Rule.DEADLINE]
 
 
-def test_a_drain_counts_from_its_delivery_and_at_the_latest_after_six_seconds(oracle, clock):
+def test_a_drain_takes_effect_at_its_delivery_or_six_seconds_after_its_announcement(oracle, clock):
     oracle.drains.drain_announced("p")
     clock.now += 6.05
     oracle.attempts.attempt_started("q", "p", None)
@@ -114,7 +114,7 @@
     assert violated_rules(oracle) == [Rule.DRAIN, Rule.DRAIN]
 
 
-def test_a_lease_with_no_attempt_in_flight_ends_with_the_release_timeout(oracle, clock):
+def test_a_lease_without_an_attempt_beyond_the_release_timeout_is_a_violation(oracle, clock):
     oracle.executions.prefill_started("q", "p")
     oracle.executions.prefill_ended("q", "p", left_kv_state=True)
     clock.now += 0.3
@@ -125,13 +125,13 @@
     assert violated_rules(oracle) == [Rule.LEASE]
 
 
-def test_a_release_leaves_what_a_decode_attempt_waits_for_and_frees_all_else(oracle):
+def test_a_release_call_keeps_kv_state_claimed_by_a_decode_attempt_and_frees_other_kv_state(oracle):
     oracle.leases.acquired("q", kv_state("p"))
     oracle.executions.decode_started("q", "d")
     oracle.leases.release_received("q")
     assert oracle.leases.has_kv_state("q")
     oracle.executions.first_token_written("q")
-    oracle.leases.acquired("q", kv_state("p2"))  # of a prefill that went on after its connection was reset
+    oracle.leases.acquired("q", kv_state("p2"))  # left by a prefill whose connection was reset
     oracle.leases.release_received("q")
     assert not oracle.leases.has_kv_state("q")
 
--- a/tests/emulator/test_slow_start_check.py
+++ b/tests/emulator/test_slow_start_check.py
@@ -1,4 +1,4 @@
-"""The soak's check of slow start allows the budget and not more."""
+"""The slow-start check of the soak uses the budget that the protocol defines."""
 
 import pytest
 
