--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -30,8 +30,8 @@
 from llm_router.routing.policy import RoutingPolicy
 from llm_router.routing.settings import ClassSettings, Idempotency, KindSettings, Role, Settings
 
-MS = 1_000_000  # nanoseconds
-SECOND = 1_000_000_000  # nanoseconds
+MS = 1_000_000  # one millisecond in nanoseconds
+SECOND = 1_000_000_000  # one second in nanoseconds
 CELL_SIZE = 6  # endpoints per cell
 REQUEST_INTERVAL = 30 * MS  # simulated time between two requests, as at a busy router
 WARM_UP_ROUNDS = 100
@@ -94,7 +94,7 @@
 
 
 class PolicyWorkload:
-    """Drives the routing policy alone."""
+    """A workload for the routing policy alone."""
 
     def __init__(self, size: int, routers: int) -> None:
         self._policy = RoutingPolicy(settings(routers), seed=7)
@@ -140,7 +140,7 @@
 
 
 class ReducerWorkload:
-    """Drives the lifecycle's reducer with the routing policy."""
+    """A workload for the lifecycle's reducer together with the routing policy."""
 
     def __init__(self, size: int, routers: int) -> None:
         fleet_settings = settings(routers)
--- a/benchmarks/fleet_footprint.py
+++ b/benchmarks/fleet_footprint.py
@@ -25,7 +25,7 @@
 from llm_router.emulator.router_process import RouterProcess, RouterSpec
 from llm_router.emulator.soak.scenario import CLASSES, DRAIN_GRACE, RELEASE_TIMEOUT, Customer, router_settings
 
-ROUTERS = 200  # number of routers in the settings
+ROUTERS = 200  # number of routers in the router's settings
 WARM_UP = 5.0  # seconds of traffic before the measurement
 OVERLOADED_DELAY = 0.9  # seconds before each response of overloaded discovery
 REPLACEMENT_INTERVAL = 1.0  # seconds between two replacements of an endpoint
@@ -171,12 +171,13 @@
 
 def main() -> None:
     """Measure all fleet sizes, and print a table."""
-    logging.disable()  # asyncio logs the connections that are reset at the end of a measurement.
+    logging.disable()  # asyncio logs errors for connections that are reset at the end, which is expected.
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", default="100,400,1600,3200")
     parser.add_argument("--seconds", type=float, default=30)
     parser.add_argument("--rate", type=float, default=10, help="requests a second")
-    parser.add_argument("--overloaded", "--crowded", action="store_true")  # `--crowded` is an alias.
+    # `--crowded` is an alias of `--overloaded`.
+    parser.add_argument("--overloaded", "--crowded", action="store_true")
     options = parser.parse_args()
     print(HEADER)
     smallest: Footprint | None = None
--- a/llm_router/emulator/discovery.py
+++ b/llm_router/emulator/discovery.py
@@ -45,7 +45,7 @@
     def __init__(self, drains: DrainCheck) -> None:
         self.index = FIRST_INDEX
         self.changed = asyncio.Condition()
-        self.available = asyncio.Event()  # Cleared during an outage: agents answer no call.
+        self.available = asyncio.Event()  # Cleared during an outage; agents then answer no calls.
         self.available.set()
         self._drains = drains
         self._entries: dict[str, RegistryEntry] = {}
@@ -79,7 +79,7 @@
     """The query parameters of a watch."""
 
     since: int  # The watch asks for changes after this index.
-    timeout: float  # seconds
+    timeout: float  # seconds until the watch times out
 
     @classmethod
     def parse(cls, path: str) -> WatchQuery | None:
--- a/llm_router/emulator/endpoint.py
+++ b/llm_router/emulator/endpoint.py
@@ -16,7 +16,7 @@
 from llm_router.emulator.oracle.slow_start_check import SlowStart, SlowStartCheck
 from llm_router.emulator.oracle.traffic_record import LeasedResource, ResourceKind
 
-PREFILL_DURATION = (0.005, 0.06)  # range in seconds of a uniform distribution
+PREFILL_DURATION = (0.005, 0.06)  # range in seconds, uniform, of the duration of a prefill
 FIRST_TOKEN_DELAY = (0.005, 0.05)  # range in seconds, uniform, from the start of a decode attempt
 QUEUEING_SHARE = 0.1  # probability that a decode attempt waits in the endpoint's queue
 QUEUEING_DELAY = (0.2, 1.5)  # range in seconds, uniform, from a queued decode attempt to its first token
--- a/llm_router/emulator/failing_calls.py
+++ b/llm_router/emulator/failing_calls.py
@@ -26,7 +26,7 @@
 
 
 class FailingCalls:
-    """Injects the faults of a fault plan into this process."""
+    """The fault injector of this process, which follows a fault plan."""
 
     def __init__(self, plan: FaultPlan) -> None:
         self._plan = plan
--- a/llm_router/emulator/fault_plan.py
+++ b/llm_router/emulator/fault_plan.py
@@ -10,13 +10,13 @@
 
 import orjson
 
-FAULT_PLAN_VARIABLE = "LLM_ROUTER_FAULT_PLAN"  # the environment variable that holds the plan
+FAULT_PLAN_VARIABLE = "LLM_ROUTER_FAULT_PLAN"  # name of the environment variable that holds the fault plan
 CALLS = ("accept", "connect", "socket", "send")
 
 
 @dataclass(slots=True)
 class FailingCall:
-    """A system call that fails at random, and the limits on its failures."""
+    """A system call that fails at random, with the conditions of its failures."""
 
     call: str
     errors: tuple[str, ...]  # constant names of the `errno` module
--- a/llm_router/emulator/fault_proxy.py
+++ b/llm_router/emulator/fault_proxy.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-READ_SIZE = 1 << 16  # bytes
+READ_SIZE = 1 << 16  # maximum number of bytes in one read
 
 
 class FaultProxy:
@@ -122,8 +122,8 @@
     async def _wait_for_partition_end(self, reader: asyncio.StreamReader) -> None:
         """Wait until no partition is in force.
 
-        Raise the reader's error if the connection was reset in the meantime. Its pending data is
-        then lost, as on a real network."""
+        Raise the reader's error if the connection was reset in the meantime. Its pending data is then lost,
+        as on a real network."""
         await self._forwarding.wait()
         error = reader.exception()
         if error is not None:
--- a/llm_router/emulator/load_generator.py
+++ b/llm_router/emulator/load_generator.py
@@ -63,7 +63,7 @@
 
 
 class LoadGenerator:
-    """Emulates all clients of one router."""
+    """The emulated clients of one router."""
 
     def __init__(
         self, oracle: Oracle, router: RouterProcess, classes: dict[str, Idempotency], seed: int
--- a/llm_router/emulator/oracle/slow_start_check.py
+++ b/llm_router/emulator/oracle/slow_start_check.py
@@ -28,7 +28,7 @@
 
     ends_at: float
     allowed_attempts: float  # mean number of attempts in one overload window
-    overload_window: float  # seconds
+    overload_window: float  # length of the overload window in seconds
 
 
 class SlowStartCheck:
--- a/llm_router/emulator/oracle/traffic_record.py
+++ b/llm_router/emulator/oracle/traffic_record.py
@@ -47,10 +47,10 @@
     decodes: int = 0  # number of decode attempts in flight
     decodes_before_first_token: int = 0  # decode attempts in flight without a token; they claim the leases
     overlap_began_at: float | None = None  # start of the time with two attempts in flight
-    may_have_run: bool = False  # A decode attempt has started.
+    may_have_run: bool = False  # A decode attempt of the request has started.
     leased: set[LeasedResource] = field(default_factory=set)
-    lease_timer_started_at: float | None = None  # start of the release timeout, or None
-    router_killed: bool = False  # Endpoints free resources of a killed router some seconds later.
+    lease_timer_started_at: float | None = None  # start time of the release timeout, or None
+    router_killed: bool = False  # If set, leases are not checked: endpoints free them some seconds later.
 
     @property
     def has_attempt_in_flight(self) -> bool:
--- a/llm_router/emulator/router_process.py
+++ b/llm_router/emulator/router_process.py
@@ -23,11 +23,11 @@
 from llm_router.emulator.http import message, read_message
 from llm_router.emulator.oracle import Oracle, Rule
 
-LISTEN_PORTS = (12_000, 32_000)  # below the ephemeral ports that the kernel assigns to outgoing connections
+LISTEN_PORTS = (12_000, 32_000)  # below the ephemeral ports, which the kernel assigns to outgoing connections
 START_TIMEOUT = 10.0  # seconds from the start of a router within which it must be ready
 READINESS_INTERVAL = 0.05  # seconds between two readiness probes
 READINESS_TIMEOUT = 1.0  # seconds that one readiness probe may take
-COUNTED_DEADLINE = 3.0  # seconds; STOP_TIMEOUT counts no more than this for the longest deadline
+COUNTED_DEADLINE = 3.0  # seconds that STOP_TIMEOUT allows for the longest deadline of a request
 STOP_GRACE = 0.7  # seconds after SIGTERM within which a new request may still use its whole deadline
 STOP_TIMEOUT = COUNTED_DEADLINE + STOP_GRACE  # seconds from SIGTERM to SIGKILL, the minimum of the protocol
 SIGNAL_INTERVAL = 0.02  # seconds between two signals of one stop
