--- a/llm_router/emulator/soak/endpoint_faults.py
+++ b/llm_router/emulator/soak/endpoint_faults.py
@@ -100,7 +100,7 @@
         self._traffic.unreachable_until[endpoint.name] = self._clock.now
         if self._rng.random() < RESET_SHARE:
             endpoint.proxy.reset()
-        endpoint.proxy.heal()
+        endpoint.proxy.end_partition()
         self._fleet.mark_healthy(endpoint)
         return endpoint.name
 
@@ -112,11 +112,11 @@
         for endpoint in endpoints:
             self._fleet.mark_faulty(endpoint)
             self._traffic.unreachable_until[endpoint.name] = float("inf")
-            endpoint.proxy.block_answers()
+            endpoint.proxy.block_responses()
         await asyncio.sleep(seconds * LOST_ANSWERS_FACTOR)
         for endpoint in endpoints:
             self._traffic.unreachable_until[endpoint.name] = self._clock.now
-            endpoint.proxy.heal()
+            endpoint.proxy.end_partition()
             self._fleet.mark_healthy(endpoint)
         return "all endpoints"
 
@@ -164,6 +164,6 @@
         mean_calls = size.routers * size.rate / ENDPOINTS_OF_KIND * OVERLOAD_WINDOW
         return SlowStart(
             ends_at=self._clock.now + SLOW_START_WINDOW,
-            allowed_calls=OVERLOAD_FACTOR * SLOW_START_SHARE * mean_calls,
+            allowed_attempts=OVERLOAD_FACTOR * SLOW_START_SHARE * mean_calls,
             overload_window=OVERLOAD_WINDOW,
         )
