--- a/llm_router/emulator/load_generator.py
+++ b/llm_router/emulator/load_generator.py
@@ -86,7 +86,7 @@
             is_malformed = self._rng.random() < MALFORMED_SHARE
             self._tasks.spawn(self._send_malformed() if is_malformed else self._send_request())
 
-    async def gather_crowd(self, size: int) -> None:
+    async def open_idle_connections(self, size: int) -> None:
         """Open so many connections that stay idle until the router ends them."""
         for _ in range(size):
             connection = await self._connect()
--- a/llm_router/emulator/soak/fleet.py
+++ b/llm_router/emulator/soak/fleet.py
@@ -69,7 +69,7 @@
         for router in self.routers:
             self.draw_fault_plan(router)
         await asyncio.gather(*(router.start() for router in self.routers))
-        await asyncio.gather(*(load.gather_crowd(self.customer.crowd_size) for load in self._load))
+        await asyncio.gather(*(load.open_idle_connections(self.customer.crowd_size) for load in self._load))
         self._load_tasks = [asyncio.ensure_future(load.generate(self.size.rate)) for load in self._load]
 
     def stop_load(self) -> None:
