--- a/llm_router/emulator/fault_proxy.py
+++ b/llm_router/emulator/fault_proxy.py
@@ -43,7 +43,7 @@
             self._server.close()
 
     def partition(self) -> None:
-        """Let no bytes pass until `heal` is called."""
+        """Let no bytes pass until `end_partition` is called."""
         self._passable.clear()
 
     async def wait_until_answers_pass(self) -> None:
@@ -52,10 +52,10 @@
         await self._answers_passable.wait()
 
     def block_answers(self) -> None:
-        """Let no bytes pass from the target until `heal` is called: a partition in one direction."""
+        """Let no bytes pass from the target until `end_partition` is called: a partition in one direction."""
         self._answers_passable.clear()
 
-    def heal(self) -> None:
+    def end_partition(self) -> None:
         """Let bytes pass, those that arrived during a partition first."""
         self._passable.set()
         self._answers_passable.set()
@@ -68,7 +68,7 @@
     async def close(self) -> None:
         """End all connections and tasks."""
         self.refuse()
-        self.heal()
+        self.end_partition()
         self.reset()
         for task in list(self._tasks):
             task.cancel()
--- a/llm_router/emulator/soak/endpoint_faults.py
+++ b/llm_router/emulator/soak/endpoint_faults.py
@@ -100,7 +100,7 @@
         self._traffic.unreachable_until[endpoint.name] = self._clock.now
         if self._rng.random() < RESET_SHARE:
             endpoint.proxy.reset()
-        endpoint.proxy.heal()
+        endpoint.proxy.end_partition()
         self._fleet.mark_healthy(endpoint)
         return endpoint.name
 
@@ -116,7 +116,7 @@
         await asyncio.sleep(seconds * LOST_ANSWERS_FACTOR)
         for endpoint in endpoints:
             self._traffic.unreachable_until[endpoint.name] = self._clock.now
-            endpoint.proxy.heal()
+            endpoint.proxy.end_partition()
             self._fleet.mark_healthy(endpoint)
         return "all endpoints"
 
