--- a/llm_router/emulator/fault_proxy.py
+++ b/llm_router/emulator/fault_proxy.py
@@ -51,7 +51,7 @@
         await self._passable.wait()
         await self._answers_passable.wait()
 
-    def block_answers(self) -> None:
+    def block_responses(self) -> None:
         """Let no bytes pass from the target until `end_partition` is called: a partition in one direction."""
         self._answers_passable.clear()
 
--- a/llm_router/emulator/soak/endpoint_faults.py
+++ b/llm_router/emulator/soak/endpoint_faults.py
@@ -112,7 +112,7 @@
         for endpoint in endpoints:
             self._fleet.mark_faulty(endpoint)
             self._traffic.unreachable_until[endpoint.name] = float("inf")
-            endpoint.proxy.block_answers()
+            endpoint.proxy.block_responses()
         await asyncio.sleep(seconds * LOST_ANSWERS_FACTOR)
         for endpoint in endpoints:
             self._traffic.unreachable_until[endpoint.name] = self._clock.now
