--- a/llm_router/emulator/soak/fleet.py
+++ b/llm_router/emulator/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Start and stop the fleet of a soak: endpoints, discovery, routers and their clients."""
+"""Start and stop the endpoints, discovery, routers and clients of a soak."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 from llm_router.emulator.router_process import RouterProcess, RouterSpec
 from llm_router.emulator.soak.scenario import CLASSES, Customer, router_settings
 
-ENDPOINTS_OF_KIND = 4
-FAULT_PLANS: tuple[dict[str, Any], ...] = (  # of system calls that fail in a router
+ENDPOINTS_OF_KIND = 4  # number of endpoints of each kind at the start of a soak
+# Each fault plan makes system calls of a router fail or shifts its wall clock. One changes nothing.
+FAULT_PLANS: tuple[dict[str, Any], ...] = (
     {},
     {"calls": [{"call": "connect", "errors": ["EADDRNOTAVAIL", "ENOBUFS", "EAGAIN", "EINTR"], "one_in": 15}]},
     {"calls": [{"call": "socket", "errors": ["EMFILE", "ENFILE", "ENOMEM"], "one_in": 15}]},
@@ -31,14 +32,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """How many routers a fleet has, and the requests a second to each."""
+    """The number of routers in a fleet, and the load on each router."""
 
     routers: int
-    rate: float
+    rate: float  # requests per second to each router
 
 
 class Fleet:
-    """The fleet of one soak, and which of its members a fault may hit at present."""
+    """The endpoints, routers and clients of one soak, with a record of the faults that are active."""
 
     def __init__(
         self, size: FleetSize, customer: Customer, rng: random.Random, oracle: Oracle, folder: Path
@@ -56,15 +57,16 @@
         self._load = [LoadGenerator(oracle, router, CLASSES, rng.getrandbits(32)) for router in self.routers]
         self._load_tasks: list[asyncio.Task[None]] = []
         self._endpoints: list[EmulatedEndpoint] = []
-        self._protected: set[EmulatedEndpoint] = set()  # one of each kind that no fault hits
-        self._faulty: set[object] = set()  # endpoints and routers that a fault hits at present
+        # One endpoint of each kind is exempt from the faults that are injected into one endpoint at a time.
+        self._exempt: set[EmulatedEndpoint] = set()
+        self._faulty: set[object] = set()  # endpoints and routers that have a fault at present
         self._endpoint_count = 0
 
     async def start(self) -> None:
-        """Start endpoints and routers, then the clients."""
+        """Start the endpoints and routers, then the clients."""
         for kind in self.customer.endpoint_kinds:
             endpoints = [await self.add_endpoint(kind) for _ in range(ENDPOINTS_OF_KIND)]
-            self._protected.add(endpoints[0])
+            self._exempt.add(endpoints[0])
             await self.registry.update(*(endpoint.entry() for endpoint in endpoints))
         for router in self.routers:
             self.draw_fault_plan(router)
@@ -73,18 +75,18 @@
         self._load_tasks = [asyncio.ensure_future(load.generate(self.size.rate)) for load in self._load]
 
     def stop_load(self) -> None:
-        """Let no new requests come."""
+        """Stop sending new requests to the routers."""
         for task in self._load_tasks:
             task.cancel()
 
     async def stop(self) -> None:
-        """Stop routers and endpoints."""
+        """Stop all routers and endpoints."""
         await asyncio.gather(*(router.stop() for router in self.routers if router.is_running))
         for endpoint in self._endpoints:
             await endpoint.stop()
 
     async def add_endpoint(self, kind: str) -> EmulatedEndpoint:
-        """Start another endpoint, which discovery does not list yet."""
+        """Start and return a new endpoint. The caller adds it to the endpoint list of discovery."""
         self._endpoint_count += 1
         name = f"{kind[0]}{self._endpoint_count}"
         endpoint = EmulatedEndpoint(self._oracle, name, kind, random.Random(self._rng.getrandbits(32)))
@@ -93,37 +95,37 @@
         return endpoint
 
     async def remove_endpoint(self, endpoint: EmulatedEndpoint) -> None:
-        """Stop an endpoint for good."""
+        """Stop an endpoint and remove it from the fleet."""
         self._endpoints.remove(endpoint)
         await endpoint.stop()
 
     def draw_fault_plan(self, router: RouterProcess) -> None:
-        """Draw the system calls that fail in a router from its next start on."""
+        """Draw the fault plan that a router uses from its next start on."""
         router.fault_plan = {"seed": self._rng.getrandbits(16), **self._rng.choice(FAULT_PLANS)}
 
     def draw_endpoint(self) -> EmulatedEndpoint | None:
-        """Draw an endpoint that no fault hits, None where there is none; protected ones are left out."""
-        return self._draw(endpoint for endpoint in self._endpoints if endpoint not in self._protected)
+        """Draw an endpoint that has no fault and is not exempt from faults. Return None if there is none."""
+        return self._draw(endpoint for endpoint in self._endpoints if endpoint not in self._exempt)
 
     @property
     def endpoints(self) -> tuple[EmulatedEndpoint, ...]:
-        """Return all endpoints that run."""
+        """Return all running endpoints."""
         return tuple(self._endpoints)
 
     def draw_router(self) -> RouterProcess | None:
-        """Draw a ready router that no fault hits, None where there is none."""
+        """Draw a ready router that has no fault. Return None if there is none."""
         return self._draw(router for router in self.routers if router.ready)
 
     def mark_faulty(self, target: Target) -> None:
-        """Let no further fault hit an endpoint or router."""
+        """Record that an endpoint or router has a fault, which excludes it from further faults."""
         self._faulty.add(target)
 
     def is_faulty(self, target: Target) -> bool:
-        """Return whether a fault hits an endpoint or router."""
+        """Return whether an endpoint or router has a fault at present."""
         return target in self._faulty
 
     def mark_healthy(self, target: Target) -> None:
-        """Let faults hit an endpoint or router again."""
+        """Record that the fault of an endpoint or router has ended."""
         self._faulty.discard(target)
 
     def _draw(self, candidates: Iterable[Target]) -> Target | None:
--- a/llm_router/emulator/soak/scenario.py
+++ b/llm_router/emulator/soak/scenario.py
@@ -1,4 +1,4 @@
-"""Define the customers whose traffic and settings the soak uses."""
+"""Define the request classes and the router settings of a soak, and the random choice of settings."""
 
 from __future__ import annotations
 
@@ -10,52 +10,56 @@
 
 SECOND = 1_000_000_000  # nanoseconds
 CLASSES = {"lookup": Idempotency.SAFE, "booking": Idempotency.NONE}
-LATENCY_OBJECTIVES = (0.3, 1.5)  # seconds: an endpoint counts as silent after some multiples of it
-DEADLINE = 9.0  # seconds: longer than a release used to be tried
+# Latency objectives in seconds; each soak uses one of them. The policy detects an unresponsive endpoint after
+# several times the latency objective.
+LATENCY_OBJECTIVES = (0.3, 1.5)
+# Deadline in seconds. It is long so that a request can wait for many seconds while its release calls are
+# retried. A router that stops the retries too early leaves KV state and reservations leased.
+DEADLINE = 9.0
 RELEASE_TIMEOUT = 0.3  # seconds
 DRAIN_GRACE = 1.0  # seconds
 SLOW_START_WINDOW = 3.0  # seconds
-SLOW_START_SHARE = 0.3
-OVERLOAD_FACTOR = 2.5
+SLOW_START_SHARE = 0.3  # share of the usual load that an endpoint in slow start gets
+OVERLOAD_FACTOR = 2.5  # load, as a multiple of the slow start share, at which an endpoint collapses
 OVERLOAD_WINDOW = 1.0  # seconds
-OTHER_RELEASE_TIMEOUTS = (0.0, 0.06, 1.0)  # seconds, of other customers
-USUAL_CUSTOMER_SHARE = 0.5  # of the soaks
-RESERVATIONS_SHARE = 0.6  # of the soaks: those whose routers reserve decode capacity
-APPEND_PREFILL_SHARE = 0.4  # of the soaks: those whose decode endpoints also prefill
-CROWD_SHARE = 0.25  # of the soaks
-CROWD_SIZE = 150  # idle connections to each router
+OTHER_RELEASE_TIMEOUTS = (0.0, 0.06, 1.0)  # seconds; drawn in soaks that do not use RELEASE_TIMEOUT
+USUAL_RELEASE_TIMEOUT_SHARE = 0.5  # probability that a soak uses RELEASE_TIMEOUT
+RESERVATIONS_SHARE = 0.6  # probability that the routers of a soak reserve decode capacity
+APPEND_PREFILL_SHARE = 0.4  # probability that a soak has mixed endpoints, which also prefill later turns
+IDLE_CONNECTIONS_SHARE = 0.25  # probability that clients of a soak open additional idle connections
+IDLE_CONNECTIONS = 150  # number of additional idle client connections to each router
 
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """What differs between the customers of two soaks."""
+    """The settings and the traffic that vary between soaks. The printed result contains the field names."""
 
     release_timeout: float = RELEASE_TIMEOUT  # seconds
     latency_objective: float = LATENCY_OBJECTIVES[0]  # seconds
     reservations: bool = False
     append_prefill: bool = False
-    crowd_size: int = 0
+    crowd_size: int = 0  # number of additional idle client connections to each router
 
     @classmethod
     def draw(cls, rng: random.Random) -> Customer:
-        """Draw a customer."""
-        is_usual = rng.random() < USUAL_CUSTOMER_SHARE
+        """Return a customer with randomly drawn settings."""
+        has_usual_release_timeout = rng.random() < USUAL_RELEASE_TIMEOUT_SHARE
         return cls(
-            RELEASE_TIMEOUT if is_usual else rng.choice(OTHER_RELEASE_TIMEOUTS),
+            RELEASE_TIMEOUT if has_usual_release_timeout else rng.choice(OTHER_RELEASE_TIMEOUTS),
             rng.choice(LATENCY_OBJECTIVES),
             reservations=rng.random() < RESERVATIONS_SHARE,
             append_prefill=rng.random() < APPEND_PREFILL_SHARE,
-            crowd_size=CROWD_SIZE if rng.random() < CROWD_SHARE else 0,
+            crowd_size=IDLE_CONNECTIONS if rng.random() < IDLE_CONNECTIONS_SHARE else 0,
         )
 
     @property
     def endpoint_kinds(self) -> tuple[str, ...]:
-        """Return the kinds of its endpoints."""
+        """Return the kinds of endpoints in the customer's fleet."""
         return ("prefill", "mixed") if self.append_prefill else ("prefill", "decode")
 
 
 def class_settings(name: str, idempotency: Idempotency, latency_objective: float) -> dict[str, Any]:
-    """Return the settings of one class of requests."""
+    """Return the router settings of one class of requests."""
     return {
         "name": name,
         "target": int(latency_objective * SECOND),
@@ -65,7 +69,7 @@
 
 
 def router_settings(router_count: int, position: int, customer: Customer) -> dict[str, Any]:
-    """Return the settings of one router, in the form of the deploy file."""
+    """Return the settings of one router, in the format of the deploy file."""
     return {
         "kinds": ["prefill", "decode", "mixed"],
         "tick": 2_000_000,
--- a/llm_router/emulator/soak/soak.py
+++ b/llm_router/emulator/soak/soak.py
@@ -1,4 +1,4 @@
-"""Run one soak over a fleet, with its faults and the oracle."""
+"""Run one soak: a fleet under traffic and randomized faults, checked by the oracle."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from llm_router.emulator.soak.router_faults import RouterFaults
 from llm_router.emulator.soak.scenario import DRAIN_GRACE, Customer
 
-SETTLE_TIME = 12.0  # seconds in which faults and requests must end once no new ones come
-MIN_SETTLE_TIME = 3.0  # seconds that are waited in any case: calls given up may arrive so late
-SETTLE_INTERVAL = 0.05  # seconds between two checks of leases meanwhile
+MAX_SETTLE_TIME = 12.0  # maximum seconds that open requests and faults get to end after the last new request
+MIN_SETTLE_TIME = 3.0  # minimum seconds of waiting at the end, because cancelled calls may arrive so late
+SETTLE_INTERVAL = 0.05  # seconds between two lease checks while requests and faults end
 
 
 @dataclass(slots=True, frozen=True)
 class ReportedViolation:
-    """A violation with the faults of its time."""
+    """A violation, with a description of the faults that were active around it."""
 
     violation: Violation
     faults: str
@@ -32,16 +32,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SoakResult:
-    """What one soak found."""
+    """The result of one soak."""
 
     customer: Customer
-    counts: Counter[str]  # of requests, attempts and answers
-    log_events: Counter[str]  # of all routers' logs, by name
+    counts: Counter[str]  # number of requests, attempts and responses, by outcome
+    log_events: Counter[str]  # number of log events of all routers, by event name
     violations: tuple[ReportedViolation, ...]
 
 
 class Soak:
-    """One soak; the seed draws its traffic and its faults."""
+    """One soak, whose traffic and faults are drawn from a seed."""
 
     def __init__(self, seed: int, size: FleetSize, folder: Path) -> None:
         rng = random.Random(seed)
@@ -58,7 +58,7 @@
         self._tasks = BackgroundTasks()
 
     async def run(self, seconds: float) -> SoakResult:
-        """Inject faults for some seconds under traffic, let all end, and return what was found."""
+        """Inject faults under traffic for some seconds, then wait for their end and return the result."""
         clock = self._oracle.clock
         self._tasks.spawn(clock.measure_delay())
         await self._fleet.start()
@@ -74,17 +74,17 @@
         return self._result()
 
     async def _settle(self) -> None:
-        """Let faults and requests end, and check leases meanwhile."""
+        """Wait until faults and requests have ended, and check the leases periodically."""
         clock = self._oracle.clock
         earliest = clock.now + MIN_SETTLE_TIME
-        latest = clock.now + SETTLE_TIME
+        latest = clock.now + MAX_SETTLE_TIME
         while clock.now < earliest or (clock.now < latest and not self._is_settled):
             await asyncio.sleep(SETTLE_INTERVAL)
             self._oracle.leases.check_all()
 
     @property
     def _is_settled(self) -> bool:
-        """Return whether no request is open and no fault lasts."""
+        """Return whether all requests and all faults have ended."""
         return self._oracle.is_idle and not self._schedule.is_active
 
     def _result(self) -> SoakResult:
