--- a/llm_router/emulator/soak/discovery_faults.py
+++ b/llm_router/emulator/soak/discovery_faults.py
@@ -1,4 +1,4 @@
-"""Inject faults of discovery."""
+"""Inject faults into discovery."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from llm_router.emulator.soak.fault import Fault
 from llm_router.emulator.soak.fleet import Fleet
 
-MAX_RESPONSE_DELAY = 0.9  # seconds that an overloaded agent takes at most
-RESET_SHARE = 0.5  # of the routers: those whose watches are reset
+MAX_RESPONSE_DELAY = 0.9  # seconds by which an overloaded discovery agent delays each response
+RESET_SHARE = 0.5  # probability that a watch reset affects a given router
 
 
 class DiscoveryFaults:
-    """The faults of discovery before one fleet."""
+    """The faults that a soak injects into the discovery of one fleet."""
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
         self._fleet = fleet
@@ -21,7 +21,7 @@
 
     @property
     def faults(self) -> tuple[Fault, ...]:
-        """Return the faults that can be injected."""
+        """Return the discovery faults from which the schedule draws."""
         return (
             Fault("outage", self._outage),
             Fault("overload", self._overload),
@@ -29,7 +29,7 @@
         )
 
     async def _outage(self, seconds: float) -> str | None:
-        """Let all agents be silent for a time."""
+        """Make discovery unavailable for some seconds: no agent answers."""
         available = self._fleet.registry.available
         if not available.is_set():
             return None
@@ -39,7 +39,7 @@
         return "discovery"
 
     async def _overload(self, seconds: float) -> str | None:
-        """Let agents answer late for a time."""
+        """Delay the responses of each router's discovery agent for some seconds."""
         for router in self._fleet.routers:
             router.agent.response_delay = self._rng.uniform(0, MAX_RESPONSE_DELAY)
         await asyncio.sleep(seconds)
@@ -48,7 +48,7 @@
         return "discovery"
 
     async def _reset_watches(self, _seconds: float) -> str | None:
-        """Reset the open watches of some routers."""
+        """Reset the discovery connections of randomly drawn routers."""
         for router in self._fleet.routers:
             if self._rng.random() < RESET_SHARE:
                 router.agent.reset()
--- a/llm_router/emulator/soak/endpoint_faults.py
+++ b/llm_router/emulator/soak/endpoint_faults.py
@@ -1,4 +1,4 @@
-"""Inject faults of endpoints and of the network before them."""
+"""Inject faults into endpoints and into the network between routers and endpoints."""
 
 from __future__ import annotations
 
@@ -20,18 +20,21 @@
     SLOW_START_WINDOW,
 )
 
-SILENT_BEHAVIOURS = (  # what the endpoints of one kind do together
+# Each of these failures is injected into all endpoints of one kind, or of all kinds, at the same time.
+CORRELATED_FAILURES = (
     EndpointBehaviour.HANGING,
     EndpointBehaviour.FROZEN,
     EndpointBehaviour.MUTE,
     EndpointBehaviour.TRUNCATING,
 )
-LOST_ANSWERS_FACTOR = 3.0  # of a fault's usual seconds: longer than a release used to be tried
-RESET_SHARE = 0.5  # of the partitions: those after which open connections are reset
+# A loss of responses lasts this many times as long as other faults, so up to 7.5 s. Release calls must be
+# retried for all this time, because a release that ends unacknowledged leaves resources leased.
+LOST_RESPONSES_FACTOR = 3.0
+RESET_SHARE = 0.5  # probability that the endpoint's connections are reset at the end of a partition
 
 
 class EndpointFaults:
-    """The faults of endpoints of one fleet."""
+    """The faults that a soak injects into the endpoints of one fleet and into their network."""
 
     def __init__(self, fleet: Fleet, rng: random.Random, clock: OracleClock, traffic: TrafficRecord) -> None:
         self._fleet = fleet
@@ -42,22 +45,22 @@
 
     @property
     def faults(self) -> tuple[Fault, ...]:
-        """Return the faults that can be injected."""
+        """Return the endpoint faults from which the schedule draws."""
         return (
-            Fault("misbehave", self._misbehave),
+            Fault("misbehave", self._fail_one_endpoint),
             Fault("partition", self._partition),
             Fault("refuse", self._refuse_connections),
             Fault("reset", self._reset_connections),
             Fault("replace", self._replace),
-            Fault("lose answers", self._lose_answers),
+            Fault("lose answers", self._lose_responses),
             *(
-                Fault(f"{behaviour.name.lower()} together", partial(self._misbehave_together, behaviour))
-                for behaviour in SILENT_BEHAVIOURS
+                Fault(f"{behaviour.name.lower()} together", partial(self._fail_endpoints_together, behaviour))
+                for behaviour in CORRELATED_FAILURES
             ),
         )
 
-    async def _misbehave(self, seconds: float) -> str | None:
-        """Let an endpoint hang, reject, fail, reset or send malformed responses for a time."""
+    async def _fail_one_endpoint(self, seconds: float) -> str | None:
+        """Make one endpoint fail for some seconds in a randomly drawn way, such as by hanging."""
         endpoint = self._fleet.draw_endpoint()
         if endpoint is None:
             return None
@@ -70,10 +73,10 @@
         self._fleet.mark_healthy(endpoint)
         return f"{endpoint.name} {behaviour.name}"
 
-    async def _misbehave_together(self, behaviour: EndpointBehaviour, seconds: float) -> str | None:
-        """Let all healthy endpoints of one kind, or of all kinds, fall silent in one way for a time."""
+    async def _fail_endpoints_together(self, behaviour: EndpointBehaviour, seconds: float) -> str | None:
+        """Make all healthy endpoints of one kind, or of all kinds, fail in the same way for some seconds."""
         groups: list[tuple[str, ...]] = [(kind,) for kind in self._kinds]
-        if behaviour is not EndpointBehaviour.FROZEN:  # some endpoint must read releases
+        if behaviour is not EndpointBehaviour.FROZEN:  # A release needs an endpoint that reads its calls.
             groups.append(self._kinds)
         kinds = self._rng.choice(groups)
         endpoints = [
@@ -89,7 +92,7 @@
         return " and ".join(kinds) if endpoints else None
 
     async def _partition(self, seconds: float) -> str | None:
-        """Cut an endpoint off: nothing passes, and connections may be reset once it is back."""
+        """Partition an endpoint from the routers. Its connections may be reset when the partition ends."""
         endpoint = self._fleet.draw_endpoint()
         if endpoint is None:
             return None
@@ -104,8 +107,8 @@
         self._fleet.mark_healthy(endpoint)
         return endpoint.name
 
-    async def _lose_answers(self, seconds: float) -> str | None:
-        """Hold up what all endpoints send, while what they are sent arrives."""
+    async def _lose_responses(self, seconds: float) -> str | None:
+        """Withhold the responses of all endpoints for some seconds. Calls to the endpoints still arrive."""
         endpoints = self._fleet.endpoints
         if any(self._fleet.is_faulty(endpoint) for endpoint in endpoints):
             return None
@@ -113,7 +116,7 @@
             self._fleet.mark_faulty(endpoint)
             self._traffic.unreachable_until[endpoint.name] = float("inf")
             endpoint.proxy.block_responses()
-        await asyncio.sleep(seconds * LOST_ANSWERS_FACTOR)
+        await asyncio.sleep(seconds * LOST_RESPONSES_FACTOR)
         for endpoint in endpoints:
             self._traffic.unreachable_until[endpoint.name] = self._clock.now
             endpoint.proxy.end_partition()
@@ -121,7 +124,7 @@
         return "all endpoints"
 
     async def _refuse_connections(self, seconds: float) -> str | None:
-        """Let an endpoint refuse new connections for a time."""
+        """Make an endpoint refuse new connections for some seconds."""
         endpoint = self._fleet.draw_endpoint()
         if endpoint is None:
             return None
@@ -133,7 +136,7 @@
         return endpoint.name
 
     async def _reset_connections(self, _seconds: float) -> str | None:
-        """Reset an endpoint's connections."""
+        """Reset all open connections of an endpoint."""
         endpoint = self._fleet.draw_endpoint()
         if endpoint is None:
             return None
@@ -141,7 +144,7 @@
         return endpoint.name
 
     async def _replace(self, seconds: float) -> str | None:
-        """Let a new endpoint join in slow start, and an old one drain and stop."""
+        """Replace an endpoint: add one in slow start, and drain and remove the old one."""
         old = self._fleet.draw_endpoint()
         if old is None:
             return None
@@ -159,7 +162,7 @@
         return f"{old.name} by {new.name}"
 
     def _slow_start(self) -> SlowStart:
-        """Return the slow start of an endpoint that starts now."""
+        """Return the window and the call limit of slow start for an endpoint that starts now."""
         size = self._fleet.size
         mean_calls = size.routers * size.rate / ENDPOINTS_OF_KIND * OVERLOAD_WINDOW
         return SlowStart(
--- a/llm_router/emulator/soak/fault.py
+++ b/llm_router/emulator/soak/fault.py
@@ -1,4 +1,4 @@
-"""Name a fault that a soak can inject."""
+"""Define the type of a fault that a soak can inject."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class Fault:
     """One kind of fault.
 
-    `inject` takes the seconds that the fault lasts, runs until it is over, and returns what it hit, None
-    where nothing was left to hit."""
+    `inject` takes the duration of the fault in seconds and returns when the fault has ended. It returns a
+    description of the affected target, or None if no target was available."""
 
     name: str
     inject: Callable[[float], Awaitable[str | None]]
--- a/llm_router/emulator/soak/router_faults.py
+++ b/llm_router/emulator/soak/router_faults.py
@@ -1,4 +1,4 @@
-"""Inject restarts, kills and faults of routers and of their logs."""
+"""Inject faults into routers: restarts, kills, suspensions, reloads and log failures."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 from llm_router.emulator.soak.fault import Fault
 from llm_router.emulator.soak.fleet import Fleet
 
-MAX_SUSPENSION = 0.14  # seconds: less than the slack of the oracle's checks
-RELOAD_COUNTS = (1, 1, 2)  # drawn evenly
-SIGNAL_SERIES = (  # sent with the SIGTERM of a restart, drawn evenly
+MAX_SUSPENSION = 0.14  # seconds; below the slack of the oracle's checks, so that it alone violates no rule
+RELOAD_COUNTS = (1, 1, 2)  # number of reloads in one fault, drawn uniformly from these values
+# A restart stops its router by one of these series of signals, drawn uniformly.
+SIGNAL_SERIES = (
     (signal.SIGTERM,),
     (signal.SIGHUP, signal.SIGTERM),
     (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM),
@@ -21,7 +22,7 @@
 
 
 class RouterFaults:
-    """The faults of the routers of one fleet."""
+    """The faults that a soak injects into the routers of one fleet."""
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
         self._fleet = fleet
@@ -29,7 +30,7 @@
 
     @property
     def faults(self) -> tuple[Fault, ...]:
-        """Return the faults that can be injected."""
+        """Return the router faults from which the schedule draws."""
         return (
             Fault("restart", self._restart),
             Fault("kill", self._kill),
@@ -40,7 +41,7 @@
         )
 
     async def _restart(self, _seconds: float) -> str | None:
-        """Restart a router as planned, by signals in series, with other system calls that fail."""
+        """Stop a router by a randomly drawn series of signals, and start it with a new fault plan."""
         router = self._fleet.draw_router()
         if router is None:
             return None
@@ -52,7 +53,7 @@
         return router.name
 
     async def _kill(self, _seconds: float) -> str | None:
-        """Kill a router and start it anew."""
+        """Kill a router with SIGKILL and start it again."""
         router = self._fleet.draw_router()
         if router is None:
             return None
@@ -63,7 +64,7 @@
         return router.name
 
     async def _suspend(self, seconds: float) -> str | None:
-        """Suspend a router's process for a short time."""
+        """Suspend a router's process for at most MAX_SUSPENSION seconds."""
         router = self._fleet.draw_router()
         if router is None:
             return None
@@ -73,7 +74,7 @@
         return router.name
 
     async def _reload(self, _seconds: float) -> str | None:
-        """Give a router a new configuration, which moves discovery, once or twice."""
+        """Reload a router's configuration once or twice, each time with a new discovery address."""
         router = self._fleet.draw_router()
         if router is None:
             return None
@@ -84,7 +85,7 @@
         return router.name
 
     async def _stall_log(self, seconds: float) -> str | None:
-        """Leave a router's log unread for a time."""
+        """Stop reading a router's log for some seconds, so that its pipe can fill up."""
         router = self._fleet.draw_router()
         if router is None:
             return None
@@ -94,7 +95,7 @@
         return router.name
 
     async def _close_log(self, _seconds: float) -> str | None:
-        """Close the reading end of a router's log for good."""
+        """Close the reading end of a router's log pipe, so that the router cannot write to it."""
         router = self._fleet.draw_router()
         if router is None:
             return None
