--- a/tests/emulator/test_kv_lease_fault_injection.py
+++ b/tests/emulator/test_kv_lease_fault_injection.py
@@ -1,4 +1,7 @@
-"""Nothing stays leased under faults drawn from fixed seeds, judged by the endpoints' own record."""
+"""Check that no lease outlives the release timeout under random faults, drawn from fixed seeds.
+
+The endpoints' own record is checked, and the router's view is never used. A lease that outlives the timeout
+means that the router lost track of KV state or of a reservation after a fault."""
 
 import asyncio
 import json
@@ -11,25 +14,25 @@
 
 MS = 1_000_000  # nanoseconds
 KINDS = {"r1": "prefill", "r2": "prefill", "w1": "decode", "w2": "decode", "w3": "decode"}
-STEADY = "w3"  # the endpoint that no fault hits: a decode endpoint can always be reached
+FAULTLESS_ENDPOINT = "w3"  # No fault is injected at this decode endpoint, so that one is always reachable.
 REQUESTS = 60
-MAX_SILENCE = 0.15  # seconds
-CUSTOMERS = {
+MAX_PARTITION = 0.15  # seconds that a partition may last
+CUSTOMERS = {  # The keys of the customers are part of the random seeds.
     "short release time": {"release_within": 60 * MS, "ahead": True},
     "no reservations": {"release_within": 300 * MS, "ahead": False},
     "long release time": {"release_within": 900 * MS, "ahead": True},
 }
 
 
-async def be_silent(endpoint, seconds):
-    """Let nothing reach an endpoint for a time."""
+async def partition(endpoint, seconds):
+    """Delay all data sent to an endpoint for some seconds."""
     endpoint.inbound.clear()
-    await asyncio.sleep(min(seconds, MAX_SILENCE))
+    await asyncio.sleep(min(seconds, MAX_PARTITION))
     endpoint.inbound.set()
 
 
 async def refuse(endpoint, seconds):
-    """Let an endpoint refuse connections for a time."""
+    """Make an endpoint refuse new connections and close idle ones for some seconds."""
     endpoint.refuse()
     endpoint.close_idle()
     await asyncio.sleep(seconds)
@@ -37,38 +40,38 @@
 
 
 async def hang(endpoint, seconds):
-    """Let an endpoint end no prefill and begin no decode for a time."""
+    """Stop an endpoint from completing prefills and starting response streams for some seconds."""
     endpoint.finish.clear()
     await asyncio.sleep(seconds)
     endpoint.finish.set()
 
 
 async def reject_reservations(endpoint, seconds):
-    """Let an endpoint grant no reservation for a time."""
+    """Make an endpoint reject reservations for some seconds."""
     endpoint.grants_reservations = False
     await asyncio.sleep(seconds)
     endpoint.grants_reservations = True
 
 
 async def reset_prefills(endpoint, seconds):
-    """Let an endpoint reset the connections of prefills for a time."""
+    """Make an endpoint reset the connections of prefill attempts for some seconds."""
     endpoint.resets_prefills = True
     await asyncio.sleep(seconds)
     endpoint.resets_prefills = False
 
 
 async def leave_reservations_unanswered(endpoint, seconds):
-    """Let an endpoint answer no reservation for a time."""
+    """Make an endpoint leave reservation calls unanswered for some seconds."""
     endpoint.answers_reservations = False
     await asyncio.sleep(seconds)
     endpoint.answers_reservations = True
 
 
-FAULTS = [be_silent, refuse, hang, reject_reservations, reset_prefills, leave_reservations_unanswered]
+FAULTS = [partition, refuse, hang, reject_reservations, reset_prefills, leave_reservations_unanswered]
 
 
 async def inject_faults(endpoint, rng):
-    """Let one endpoint fail now and then, one way at a time."""
+    """Inject random faults into one endpoint, one at a time, until cancelled."""
     while True:
         await asyncio.sleep(rng.uniform(0.05, 0.4))
         fault = rng.choice(FAULTS)
@@ -76,7 +79,7 @@
 
 
 async def send_request(router, request_id, rng):
-    """Send a request, and disconnect before its answer has come or not."""
+    """Send a request, and disconnect after the response or after a random time."""
     reader, writer = await router.connect()
     writer.write(chat_request(request_id, time_remaining_ms=rng.choice([200, 800, 3000]), facts=FACTS))
     disconnect_after = rng.choice([0.01, 0.05, 0.2, 5])
@@ -91,7 +94,7 @@
 
 
 async def send_requests(router, rng):
-    """Send all requests at random times, and wait for their ends."""
+    """Send all requests at random intervals, and wait until all clients have disconnected."""
     clients = []
     for number in range(REQUESTS):
         request = send_request(router, f"q{number}", random.Random(rng.random()))
@@ -102,7 +105,7 @@
 
 @asynccontextmanager
 async def faults_injected(endpoints, rng):
-    """Inject faults into some endpoints; at the end of the block nothing waits there any more."""
+    """Inject faults into some endpoints during the block, and open their gates at its end."""
     tasks = [
         asyncio.ensure_future(inject_faults(endpoint, random.Random(rng.random()))) for endpoint in endpoints
     ]
@@ -116,20 +119,20 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("customer", CUSTOMERS)
-def test_nothing_stays_leased_under_faults(tmp_path, customer, seed):
+def test_no_lease_outlives_the_release_timeout_under_faults(tmp_path, customer, seed):
     settings = json.loads(json.dumps(SETTINGS))
     settings["family_info"].update(CUSTOMERS[customer])
 
     async def test():
         rng = random.Random(f"{customer} {seed}")
         async with gated_deployment(tmp_path, settings, KINDS) as deployment:
-            deployment[STEADY].grants_reservations = False
-            faulty = [deployment[name] for name in KINDS if name != STEADY]
+            deployment[FAULTLESS_ENDPOINT].grants_reservations = False
+            faulty = [deployment[name] for name in KINDS if name != FAULTLESS_ENDPOINT]
             async with faults_injected(faulty, rng):
                 await send_requests(deployment.router, rng)
             assert await deployment.record.final_violations() == []
             answered = sum(request.answered for request in deployment.record.requests.values())
             print(f"{answered} of {REQUESTS} answered")
-            assert answered > REQUESTS // 6, "the faults leave some endpoint for a request"
+            assert answered > REQUESTS // 6, "too few requests were answered under the injected faults"
 
     run(test())
--- a/tests/emulator/test_kv_lease_on_sockets.py
+++ b/tests/emulator/test_kv_lease_on_sockets.py
@@ -1,4 +1,7 @@
-"""The release timeout is kept, judged by the endpoints' own record, with each bad order forced at a gate."""
+"""Check that no lease outlives the release timeout if events happen in an unfavourable order.
+
+Each test forces one order of events by closing gates at stand-in endpoints, for example a release call that
+arrives before the close of the prefill's connection. The endpoints' own record is checked."""
 
 import asyncio
 import time
@@ -9,13 +12,14 @@
 from stand_ins import FACTS, SETTINGS, LateListener, chat_request, registry_entry, run
 
 MS = 1_000_000  # nanoseconds
-RELEASE_TIMEOUTS = [60 * MS, 400 * MS]  # shorter and longer than the one most tests of the suite use
+RELEASE_TIMEOUTS = [60 * MS, 400 * MS]  # shorter and longer than in most tests of the suite
 ONE_OF_EACH = {"r1": "prefill", "w1": "decode"}
-ALL_REFUSED = 0.1  # seconds in which every endpoint has refused; if not, the test is less strict
+# Seconds in which every endpoint usually refuses a release call. If one does not, the test is less strict.
+REFUSAL_TIME = 0.1
 
 
-def customer(release_timeout, reservations=False, connect_timeout=250 * MS):
-    """Return the settings of a customer with another release timeout."""
+def customer_settings(release_timeout, reservations=False, connect_timeout=250 * MS):
+    """Return settings with a release timeout and a connect timeout in nanoseconds."""
     family = {"ahead": reservations, "release_within": release_timeout}
     return {
         **SETTINGS,
@@ -26,7 +30,7 @@
 
 @asynccontextmanager
 async def client(router):
-    """Send request `r1`; its connection is closed at the end of the block."""
+    """Send the request `r1`, and close the client's connection at the end of the block."""
     _, writer = await router.connect()
     writer.write(chat_request("r1", facts=FACTS))
     yield
@@ -35,7 +39,7 @@
 
 @asynccontextmanager
 async def client_at_decode(deployment):
-    """Send a request whose decode attempt waits with leased KV state; disconnect at the end of the block."""
+    """Send a request, wait until its decode attempt claims the KV state, and disconnect after the block."""
     deployment["w1"].finish.clear()
     async with client(deployment.router):
         await deployment.record.wait_until(lambda: deployment.record.of("r1").decodes)
@@ -43,16 +47,17 @@
 
 
 async def wait_for_release_timer(record):
-    """Wait until the release timeout of request `r1` runs."""
+    """Wait until the release timeout of the request `r1` has started."""
     await record.wait_until(lambda: record.of("r1").timer_started_at is not None)
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_release_passes_a_silent_endpoint_however_short_the_release_timeout(tmp_path, release_timeout):
+def test_a_release_reaches_another_endpoint_if_one_is_unresponsive(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
             async with client_at_decode(deployment):
-                deployment["r1"].inbound.clear()  # it stops responding once it holds the state
+                # The endpoint stops responding after it has computed the KV state.
+                deployment["r1"].inbound.clear()
             assert await deployment.record.final_violations() == []
             deployment["r1"].inbound.set()
 
@@ -60,13 +65,13 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_release_is_retried_when_every_endpoint_has_refused_it(tmp_path, release_timeout):
+def test_a_release_is_retried_after_every_endpoint_refused_the_connection(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
             async with client_at_decode(deployment):
                 deployment.refuse_all()
             await wait_for_release_timer(deployment.record)
-            await asyncio.sleep(ALL_REFUSED)
+            await asyncio.sleep(REFUSAL_TIME)
             await deployment.listen_all()
             assert await deployment.record.final_violations() == []
 
@@ -74,16 +79,16 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_release_that_overtakes_the_close_of_a_prefill_is_retried(tmp_path, release_timeout):
+def test_a_release_that_arrives_before_the_close_of_a_prefill_is_retried(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
             deployment["r1"].finish.clear()
             async with client(deployment.router):
                 await deployment.record.wait_until(lambda: deployment.record.of("r1").prefills)
-                deployment["r1"].inbound.clear()  # the close takes long to arrive
+                deployment["r1"].inbound.clear()  # The close of the prefill's connection is delayed.
                 deployment["r1"].refuse()
             await deployment.until_called("w1", "DELETE")
-            deployment["r1"].finish.set()  # the prefill ends long before the close arrives
+            deployment["r1"].finish.set()  # The prefill completes before the close arrives.
             await deployment.until_leased("r1")
             deployment["r1"].inbound.set()
             assert await deployment.record.final_violations() == []
@@ -92,12 +97,12 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_release_that_overtakes_the_close_of_a_decode_attempt_is_retried(tmp_path, release_timeout):
+def test_a_release_that_arrives_before_the_close_of_a_decode_attempt_is_retried(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
             async with client_at_decode(deployment):
                 deployment["w1"].inbound.clear()
-            await deployment.until_called("r1", "DELETE")  # the attempt still waits for the state
+            await deployment.until_called("r1", "DELETE")  # The decode attempt still claims the KV state.
             deployment["w1"].inbound.set()
             assert await deployment.record.final_violations() == []
 
@@ -106,11 +111,11 @@
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
 def test_a_reservation_that_arrives_after_the_first_token_is_released(tmp_path, release_timeout):
-    """One of two decode endpoints gets the reservation, and the other one then gets the request."""
+    """Delay the reservation at one decode endpoint while the other one answers the request."""
     kinds = {"r1": "prefill", "w1": "decode", "w2": "decode"}
 
     async def test():
-        settings = customer(release_timeout, reservations=True)
+        settings = customer_settings(release_timeout, reservations=True)
         async with gated_deployment(tmp_path, settings, kinds) as deployment:
             deployment["r1"].finish.clear()
             deployment["w1"].inbound.clear()
@@ -132,12 +137,12 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_reservation_without_an_answer_is_released_before_its_call_times_out(tmp_path, release_timeout):
+def test_an_unanswered_reservation_is_released_before_its_call_times_out(tmp_path, release_timeout):
     async def test():
-        settings = customer(release_timeout, reservations=True)
+        settings = customer_settings(release_timeout, reservations=True)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
             deployment["r1"].finish.clear()
-            deployment["w1"].inbound.clear()  # the reservation is on its way
+            deployment["w1"].inbound.clear()  # The reservation call is delayed.
             deployment["w1"].answers_reservations = False
             async with client(deployment.router):
                 await deployment.until_sent("POST /v1/holds", "w1")
@@ -150,9 +155,9 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_state_is_released_though_the_endpoint_list_has_become_empty(tmp_path, release_timeout):
+def test_kv_state_is_released_after_the_endpoint_list_becomes_empty(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
             async with client_at_decode(deployment):
                 removed = [
                     registry_entry(endpoint.name, endpoint.address, endpoint.kind, "Gone")
@@ -167,13 +172,13 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_state_of_a_reset_prefill_is_released_while_the_next_prefill_connects(tmp_path, release_timeout):
+def test_kv_state_of_a_reset_prefill_is_released_while_the_next_prefill_connects(tmp_path, release_timeout):
     async def test():
-        settings = customer(release_timeout, connect_timeout=2000 * MS)
+        settings = customer_settings(release_timeout, connect_timeout=2000 * MS)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
             deployment["r1"].resets_prefills = True
             deployment["r1"].finish.clear()
-            late = LateListener()  # the only other prefill endpoint, whose connections do not come up
+            late = LateListener()  # The only other prefill endpoint accepts no connection.
             draining = registry_entry("r1", deployment["r1"].address, "prefill", "Terminating")
             async with client(deployment.router):
                 await deployment.until_called("r1", "POST")
@@ -189,15 +194,15 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_state_of_a_prefill_that_continued_after_a_reset_is_released(tmp_path, release_timeout):
+def test_kv_state_of_a_prefill_that_continued_after_a_reset_is_released(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
             deployment["r1"].resets_prefills = True
             deployment["r1"].finish.clear()
             async with client(deployment.router):
                 await deployment.until_called("r1", "POST")
             await deployment.until_called("w1", "DELETE")
-            await asyncio.sleep(1)  # the prefill continues: its endpoint does not stop it
+            await asyncio.sleep(1)  # The endpoint continues the prefill after the reset.
             deployment["r1"].finish.set()
             await deployment.until_leased("r1")
             assert await deployment.record.final_violations() == []
@@ -206,15 +211,15 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_the_router_does_not_exit_before_its_releases_are_acknowledged(tmp_path, release_timeout):
+def test_the_router_does_not_exit_before_its_release_calls_are_acknowledged(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
             async with client_at_decode(deployment):
                 deployment.refuse_all()
                 stopped = asyncio.ensure_future(deployment.router.stop())
                 await deployment.router.wait_for_log("stopping")
             await wait_for_release_timer(deployment.record)
-            await asyncio.sleep(ALL_REFUSED)
+            await asyncio.sleep(REFUSAL_TIME)
             await deployment.listen_all()
             assert await deployment.record.final_violations() == []
             assert await stopped == 0
@@ -223,11 +228,11 @@
 
 
 @pytest.mark.parametrize("release_timeout", [0, *RELEASE_TIMEOUTS])
-def test_state_waits_for_an_endpoint_in_slow_start_no_longer_than_the_release_timeout(
+def test_kv_state_waits_for_an_endpoint_in_slow_start_no_longer_than_the_release_timeout(
     tmp_path, release_timeout
 ):
     async def test():
-        settings = customer(release_timeout)
+        settings = customer_settings(release_timeout)
         slow_start = {"cold": 10_000 * MS, "cold_share": 0.3, "overload_factor": 2.5, "fall": 1000 * MS}
         settings["rules"] = {**settings["rules"], **slow_start}
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
@@ -243,11 +248,11 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_next_prefill_that_never_reaches_its_endpoint_delays_no_release(tmp_path, release_timeout):
+def test_a_retried_prefill_that_never_arrives_does_not_delay_the_release(tmp_path, release_timeout):
     kinds = {"r1": "prefill", "r2": "prefill", "w1": "decode"}
 
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), kinds) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), kinds) as deployment:
             deployment["r1"].resets_prefills = deployment["r2"].resets_prefills = True
             deployment["r1"].finish.clear()
             deployment["r2"].finish.clear()
@@ -258,9 +263,9 @@
                 first, second = deployment["r1"], deployment["r2"]
                 if second.called("POST"):
                     first, second = second, first
-                second.inbound.clear()  # partitioned: the next prefill never arrives
+                second.inbound.clear()  # The endpoint is partitioned: the retried prefill never arrives.
                 await deployment.until_sent("POST", second.name)
-                first.finish.set()  # the reset prefill continued, and leaves its KV state
+                first.finish.set()  # The reset prefill completes and leaves its KV state.
                 await deployment.until_leased("r1")
                 assert await deployment.record.final_violations() == []
             second.inbound.set()
@@ -269,10 +274,10 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_decode_attempt_that_never_reaches_its_endpoint_delays_no_release(tmp_path, release_timeout):
+def test_a_decode_attempt_that_never_arrives_does_not_delay_the_release(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), ONE_OF_EACH) as deployment:
-            deployment["w1"].inbound.clear()  # partitioned: the attempt never arrives
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), ONE_OF_EACH) as deployment:
+            deployment["w1"].inbound.clear()  # The endpoint is partitioned: the decode attempt never arrives.
             async with client(deployment.router):
                 await deployment.until_sent("POST /v1/chat", "w1")
                 await deployment.until_leased("r1")
@@ -283,11 +288,11 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_reservation_for_a_prefill_that_never_reached_its_endpoint_is_released(tmp_path, release_timeout):
+def test_a_reservation_for_a_prefill_that_never_arrived_is_released(tmp_path, release_timeout):
     async def test():
-        settings = customer(release_timeout, reservations=True)
+        settings = customer_settings(release_timeout, reservations=True)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
-            deployment["r1"].inbound.clear()  # partitioned: the prefill never arrives
+            deployment["r1"].inbound.clear()  # The endpoint is partitioned: the prefill never arrives.
             async with client(deployment.router):
                 await deployment.until_leased("r1")
                 assert await deployment.record.final_violations() == []
@@ -297,12 +302,12 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_a_reservation_that_arrives_long_after_it_was_abandoned_is_released(tmp_path, release_timeout):
+def test_a_reservation_that_arrives_long_after_its_cancellation_is_released(tmp_path, release_timeout):
     async def test():
-        settings = customer(release_timeout, reservations=True)
+        settings = customer_settings(release_timeout, reservations=True)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
             deployment["r1"].finish.clear()
-            deployment["w1"].inbound.clear()  # partitioned: the reservation is on its way
+            deployment["w1"].inbound.clear()  # The endpoint is partitioned: the reservation call is delayed.
             async with client(deployment.router):
                 await deployment.until_sent("POST /v1/holds", "w1")
             await asyncio.sleep(2)
