--- a/tests/emulator/test_release_during_retry.py
+++ b/tests/emulator/test_release_during_retry.py
@@ -1,9 +1,9 @@
-"""A decode attempt went silent, its KV state was given up, and the request was sent once more to an endpoint
-that prefills by itself. The release that was made meanwhile passed the KV state by, as the new attempt waited
-for it, but its acknowledgement was taken as proof that nothing was held. When that attempt was given up in
-its turn, no release followed. The report showed it five times, each as "ended 15.063: read", "ended 17.353:
-given up" and, 2 ms later and so without the 15 ms that a release takes first, "17.355 ... given up" until the
-client's time was over."""
+"""Check that KV state is released after a retried decode attempt fails as well.
+
+The first decode attempt gets no response and is cancelled. A second attempt goes to another mixed endpoint.
+A release call then frees no KV state, because the second attempt claims it. The acknowledgement of this call
+must not count as proof that no KV state is leased. After the second attempt is cancelled as well, another
+release must follow; the router starts it 15 ms after the cancellation."""
 
 import pytest
 from gated_deployment import gated_deployment
@@ -11,11 +11,11 @@
 
 MS = 1_000_000  # nanoseconds
 KINDS = {"r1": "prefill", "m1": "mixed", "m2": "mixed"}
-TIME_REMAINING = 1200  # milliseconds: the first decode attempt is given up after some 350
+TIME_REMAINING = 1200  # milliseconds; the router cancels the first decode attempt after about 350 ms
 
 
-def customer(release_timeout):
-    """Return the settings of a customer whose mixed endpoints prefill by themselves where nothing waits."""
+def customer_settings(release_timeout):
+    """Return settings with append-prefill, so that mixed endpoints prefill prompts without KV state."""
     lanes = [{**lane, "target": 200 * MS} for lane in SETTINGS["lanes"]]
     roles = {"duty_by_kind": ["read", "write", "both"], "memory_tokens": [200_000, 150_000, 150_000]}
     family = {**SETTINGS["family_info"], **roles, "local_read": True, "release_within": release_timeout}
@@ -24,11 +24,11 @@
 
 
 @pytest.mark.parametrize("release_timeout", [60 * MS, 300 * MS])
-def test_state_that_a_later_attempt_waited_for_is_released_after_it(tmp_path, release_timeout):
+def test_kv_state_claimed_by_a_retried_attempt_is_released_after_the_attempt(tmp_path, release_timeout):
     async def test():
-        async with gated_deployment(tmp_path, customer(release_timeout), KINDS) as deployment:
+        async with gated_deployment(tmp_path, customer_settings(release_timeout), KINDS) as deployment:
             for name in ("m1", "m2"):
-                deployment[name].finish.clear()  # they accept attempts and never begin a stream
+                deployment[name].finish.clear()  # The mixed endpoints accept attempts and never respond.
             request = chat_request("r1", time_remaining_ms=TIME_REMAINING, facts=FACTS)
             status_line, _, _ = await deployment.router.exchange(request)
             assert status_line.split()[1] == "503"
--- a/tests/emulator/test_release_without_answers.py
+++ b/tests/emulator/test_release_without_answers.py
@@ -1,4 +1,7 @@
-"""What is held for a request is released in time though the answers that should tell of it never come."""
+"""Check that KV state and reservations are released in time if endpoint responses are lost or delayed.
+
+A router leaves KV state or a reservation leased if it starts a release only after a response, or if it stops
+its release calls too early."""
 
 import asyncio
 
@@ -9,33 +12,39 @@
 MS = 1_000_000  # nanoseconds
 RELEASE_TIMEOUTS = [60 * MS, 400 * MS]
 ONE_OF_EACH = {"r1": "prefill", "w1": "decode"}
-LONGER_THAN_ANY_BUDGET = 6.0  # seconds: a release used to be given up after some 5.4
-SILENCE = 0.2  # seconds after which an attempt that is given up may be at an endpoint that is cut off
-CUT = 1.5  # seconds for which that endpoint is cut off then
-DECODES_FOREVER = 9000  # milliseconds that a client waits whose class must not be repeated
+UNACKNOWLEDGED_TIME = 6.0  # seconds; a release with a limited number of calls ends after about 5.4 s
+# Seconds of partition before the client disconnects. After that time without a response, the router assumes
+# that the close of an attempt may arrive late.
+PARTITION_BEFORE_DISCONNECT = 0.2
+PARTITION_AFTER_DISCONNECT = 1.5  # seconds of partition after the client has disconnected
+# Milliseconds that a client waits. Its class must not be repeated, so the decode attempt lasts as long.
+LONG_TIME_REMAINING = 9000
 
 
-def customer(release_timeout, reservations):
-    """Return the settings of a customer with another release timeout."""
+def customer_settings(release_timeout, reservations):
+    """Return settings with a release timeout in nanoseconds, with or without reservations."""
     family = {"ahead": reservations, "release_within": release_timeout}
     return {**SETTINGS, "family_info": {**SETTINGS["family_info"], **family}}
 
 
-def test_a_release_that_nobody_acknowledges_for_long_is_not_forgotten(tmp_path):
-    """The calls of a release were spent while a decode attempt waited for the KV state, where they could not
-    succeed, and the lease was then forgotten: "when the attempt is given up 5.7 s after the prefill, and
-    endpoints acknowledge again, no release is made any more"."""
+def test_a_release_without_acknowledgement_is_retried_for_seconds(tmp_path):
+    """Keep release calls unacknowledged while a decode attempt claims the KV state, then acknowledge them.
+
+    A router with a limited number of release calls spends all of them during the attempt. If the attempt ends
+    5.7 s after the prefill, no release follows, and the KV state stays leased."""
 
     async def test():
-        settings = customer(300 * MS, reservations=False)
+        settings = customer_settings(300 * MS, reservations=False)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
             deployment["w1"].finish.clear()
             for endpoint in deployment.endpoints.values():
                 endpoint.answers_releases = False
             _, writer = await deployment.router.connect()
-            writer.write(chat_request("r1", cls="booking", time_remaining_ms=DECODES_FOREVER, facts=FACTS))
+            writer.write(
+                chat_request("r1", cls="booking", time_remaining_ms=LONG_TIME_REMAINING, facts=FACTS)
+            )
             await deployment.record.wait_until(lambda: deployment.record.of("r1").decodes)
-            await asyncio.sleep(LONGER_THAN_ANY_BUDGET)
+            await asyncio.sleep(UNACKNOWLEDGED_TIME)
             for endpoint in deployment.endpoints.values():
                 endpoint.answers_releases = True
             writer.close()
@@ -44,39 +53,43 @@
     run(test())
 
 
-async def answer_nothing(deployment):
-    """Let the decode endpoint answer no reservation."""
+async def answer_no_reservation(deployment):
+    """Make the decode endpoint leave every reservation call unanswered."""
     deployment["w1"].answers_reservations = False
 
 
-async def answer_once(deployment):
-    """Let the decode endpoint answer only the first reservation, by not knowing its prefill."""
+async def answer_first_reservation(deployment):
+    """Make the decode endpoint answer only its first reservation call, which finds no prefill in flight."""
     await deployment.until_called("w1", "POST /v1/holds")
     deployment["w1"].answers_reservations = False
 
 
-async def answer_once_and_drain(deployment):
-    """Let the decode endpoint answer the first reservation, and drain before it could be asked again."""
+async def drain_after_first_reservation(deployment):
+    """Drain the decode endpoint after its first reservation call, so that it gets no second one."""
     await deployment.until_called("w1", "POST /v1/holds")
     draining = registry_entry("w1", deployment["w1"].address, "decode", "Terminating")
     await deployment.router.discovery.publish([draining])
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-@pytest.mark.parametrize("answers", [answer_nothing, answer_once, answer_once_and_drain])
-def test_a_reservation_whose_prefill_no_process_reads_is_released(tmp_path, release_timeout, answers):
-    """The prefill endpoint's machine acknowledged the bytes, and its process never read them: "bytes 5.255 to
-    5.262, taken -". Only an answer to the reservation made a release due, and none came that settled it."""
+@pytest.mark.parametrize(
+    "answers", [answer_no_reservation, answer_first_reservation, drain_after_first_reservation]
+)
+def test_a_reservation_for_a_prefill_that_is_never_read_is_released(tmp_path, release_timeout, answers):
+    """Let the host of the prefill endpoint accept the attempt's bytes while its process never reads them.
+
+    A router that starts a release only after an answer to the reservation call leaves the reservation leased,
+    because no answer says whether the reservation was made."""
 
     async def test():
-        settings = customer(release_timeout, reservations=True)
+        settings = customer_settings(release_timeout, reservations=True)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
             deployment["r1"].inbound.clear()
-            if answers is answer_nothing:
+            if answers is answer_no_reservation:
                 await answers(deployment)
             _, writer = await deployment.router.connect()
             writer.write(chat_request("r1", facts=FACTS))
-            if answers is not answer_nothing:
+            if answers is not answer_no_reservation:
                 await answers(deployment)
             await deployment.until_leased("r1")
             assert await deployment.record.final_violations() == []
@@ -87,12 +100,14 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_kv_state_is_claimed_in_time_though_the_prefills_answer_never_ends(tmp_path, release_timeout):
-    """The head of a 202 tells that the KV state is there, but the decode attempt waited a second for its end:
-    "202 with a cut body and an open connection: the decode attempt is sent 1.00 s later"."""
+def test_kv_state_is_claimed_in_time_if_the_prefill_response_is_truncated(tmp_path, release_timeout):
+    """Truncate the body of a prefill response with status 202 and keep the connection open.
+
+    The head of the response already confirms the KV state. A router that waits for the end of the body sends
+    the decode attempt 1.00 s late, after the release timeout."""
 
     async def test():
-        settings = customer(release_timeout, reservations=False)
+        settings = customer_settings(release_timeout, reservations=False)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
             deployment["r1"].truncates_prefill_responses = True
             status_line, _, _ = await deployment.router.exchange(chat_request("r1", facts=FACTS))
@@ -102,28 +117,30 @@
     run(test())
 
 
-async def give_up_behind_a_cut(deployment, endpoint):
-    """Cut an endpoint off while it works on request `r1`, and let the client leave after a silence."""
+async def disconnect_during_partition(deployment, endpoint):
+    """Partition an endpoint while it processes the request `r1`, and disconnect the client."""
     endpoint.finish.clear()
     _, writer = await deployment.router.connect()
     writer.write(chat_request("r1", facts=FACTS))
     await deployment.until_called(endpoint.name, "POST /v1/chat")
     await deployment.record.wait_until(lambda: deployment.record.of("r1").has_attempt_in_flight)
     endpoint.inbound.clear()
-    await asyncio.sleep(SILENCE)
+    await asyncio.sleep(PARTITION_BEFORE_DISCONNECT)
     writer.close()
-    await asyncio.sleep(CUT)
+    await asyncio.sleep(PARTITION_AFTER_DISCONNECT)
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_state_is_released_though_the_close_of_its_attempt_arrives_seconds_later(tmp_path, release_timeout):
-    """An endpoint that is cut off learns late that its attempt was given up. Until then a release passes by
-    what that attempt waits for; releases ended 0.2 s after the attempt."""
+def test_kv_state_is_released_if_the_close_of_the_decode_attempt_arrives_late(tmp_path, release_timeout):
+    """Deliver the close of a cancelled decode attempt 1.5 s late, as after a partition.
+
+    Until the close arrives, release calls do not free the KV state that the attempt claims. A router whose
+    release calls end 0.2 s after the attempt leaves this KV state leased."""
 
     async def test():
-        settings = customer(release_timeout, reservations=False)
+        settings = customer_settings(release_timeout, reservations=False)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
-            await give_up_behind_a_cut(deployment, deployment["w1"])
+            await disconnect_during_partition(deployment, deployment["w1"])
             deployment["w1"].inbound.set()
             assert await deployment.record.final_violations() == []
 
@@ -131,14 +148,16 @@
 
 
 @pytest.mark.parametrize("release_timeout", RELEASE_TIMEOUTS)
-def test_state_is_released_though_its_prefill_ends_before_a_late_close(tmp_path, release_timeout):
-    """The same with a prefill, which goes on at an endpoint that is cut off and ends well; found by the soak:
-    "KV state at p3 leased for 1.331 s", from the end of a partition on, after the attempt was given up."""
+def test_kv_state_is_released_if_the_prefill_completes_before_a_late_close(tmp_path, release_timeout):
+    """Complete a cancelled prefill at a partitioned endpoint before the close of its connection arrives.
+
+    A router whose release calls end too early leaves this KV state leased. In a soak, KV state stayed leased
+    for 1.331 s after the end of such a partition."""
 
     async def test():
-        settings = customer(release_timeout, reservations=False)
+        settings = customer_settings(release_timeout, reservations=False)
         async with gated_deployment(tmp_path, settings, ONE_OF_EACH) as deployment:
-            await give_up_behind_a_cut(deployment, deployment["r1"])
+            await disconnect_during_partition(deployment, deployment["r1"])
             deployment["r1"].finish.set()
             await deployment.until_leased("r1")
             assert await deployment.record.final_violations() == []
--- a/tests/emulator/test_soak.py
+++ b/tests/emulator/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak: real router processes under faults that overlap keep the rules."""
+"""Check that real router processes violate no protocol rule under overlapping faults from fixed seeds."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_rules_are_kept_under_faults_that_overlap(tmp_path, seed):
+def test_no_rule_is_violated_under_overlapping_faults(tmp_path, seed):
     async def soak():
         asyncio.get_running_loop().set_exception_handler(lambda _loop, _context: None)
         return await Soak(seed, SIZE, tmp_path).run(SECONDS)
