--- a/llm_router/emulator/soak/discovery_faults.py
+++ b/llm_router/emulator/soak/discovery_faults.py
@@ -8,7 +8,7 @@
 from llm_router.emulator.soak.fault import Fault
 from llm_router.emulator.soak.fleet import Fleet
 
-MAX_RESPONSE_DELAY = 0.9  # seconds by which an overloaded discovery agent delays each response
+MAX_RESPONSE_DELAY = 0.9  # maximum seconds by which an overloaded discovery agent delays its responses
 RESET_SHARE = 0.5  # probability that a watch reset affects a given router
 
 
--- a/llm_router/emulator/soak/fault_schedule.py
+++ b/llm_router/emulator/soak/fault_schedule.py
@@ -13,7 +13,7 @@
 
 INTERVAL = (0.2, 1.2)  # range of seconds between the starts of two faults, drawn uniformly
 DURATION = (0.1, 2.5)  # range of seconds that a fault lasts, drawn uniformly
-REPORT_WINDOW = 4.0  # seconds before a violation; the report names each fault that was active in them
+REPORT_WINDOW = 4.0  # seconds before a violation; its report names the faults that were active in this time
 
 
 @dataclass(slots=True)
--- a/llm_router/emulator/soak/fleet.py
+++ b/llm_router/emulator/soak/fleet.py
@@ -17,7 +17,7 @@
 from llm_router.emulator.soak.scenario import CLASSES, Customer, router_settings
 
 ENDPOINTS_OF_KIND = 4  # number of endpoints of each kind at the start of a soak
-# Each fault plan makes system calls of a router fail or shifts its wall clock. One changes nothing.
+# Each fault plan makes system calls of a router fail or shifts its wall clock. The empty plan does neither.
 FAULT_PLANS: tuple[dict[str, Any], ...] = (
     {},
     {"calls": [{"call": "connect", "errors": ["EADDRNOTAVAIL", "ENOBUFS", "EAGAIN", "EINTR"], "one_in": 15}]},
