--- a/llm_router/routing/__init__.py
+++ b/llm_router/routing/__init__.py
@@ -1,1 +1,3 @@
-"""The routing policy: events in, actions out, no I/O; all times are integer nanoseconds."""
+"""The routing policy: it receives events and returns actions, without any I/O.
+
+All times are integer nanoseconds."""
--- a/llm_router/routing/actions.py
+++ b/llm_router/routing/actions.py
@@ -1,6 +1,6 @@
-"""Actions that the routing policy calls for.
+"""Actions: what the routing policy decides in answer to an event.
 
-All times and spans are integer nanoseconds on the policy's clock."""
+All times and durations are integer nanoseconds on the policy's clock."""
 
 from __future__ import annotations
 
@@ -10,9 +10,11 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send the request to an endpoint; attempts count from 0. `timeout` 0: until the client gives up.
+    """Send the request to an endpoint.
 
-    `write_deadline`: from this time on it may not be written, even if its connection comes up then."""
+    The attempts of a request are numbered from 0 in the order of these actions. A `timeout` of 0 lets the
+    attempt run until the client gives up. The request must not be written to a connection at or after
+    `write_deadline`."""
 
     request_id: str
     endpoint_id: int
@@ -22,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Reserve capacity at a decode endpoint while the prefill runs."""
+    """Reserve decode capacity at a decode endpoint while the request's prefill runs."""
 
     request_id: str
     endpoint_id: int
@@ -30,32 +32,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Release every KV state and reservation of a request that no attempt waits for."""
+    """Release the KV state and reservations of a request, except what one of its running attempts needs."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Cancel one attempt."""
+    """Cancel one attempt of a request."""
 
     request_id: str
     attempt: int
 
 
 class AnswerReason(Enum):
-    """Why a request gets a final answer of the router's own; for the log."""
+    """Why the router rejects or fails a request; the reason appears only in the log."""
 
     UNSPECIFIED = "unspecified"
     DEADLINE_EXCEEDED = "deadline_exceeded"
-    ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # by their number, the class or the deduplication window
-    NO_ENDPOINT_IN_TIME = "no_endpoint_in_time"  # none of a phase takes new work before it would be late
-    QUEUEING_DELAY = "queueing_delay"  # queues would make it late
+    # The attempt limit, the class's idempotency or the deduplication window allows no further attempt.
+    ATTEMPTS_EXHAUSTED = "attempts_exhausted"
+    # No endpoint for the prefill or for the decode accepts new requests before this one would be late.
+    NO_ENDPOINT_IN_TIME = "no_endpoint_in_time"
+    QUEUEING_DELAY = (
+        "queueing_delay"  # The expected wait in the endpoints' queues would make the request late.
+    )
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: rejected, a retry is harmless. `retry_after` 0: no advice on when."""
+    """Reject the request: the client learns that it had no effect, so that a retry is harmless.
+
+    A `retry_after` of 0 gives the client no advice on when to retry."""
 
     request_id: str
     retry_after: int = 0
@@ -64,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer: failed, nothing is promised."""
+    """Fail the request: the client does not learn whether it had an effect."""
 
     request_id: str
     reason: AnswerReason = field(default=AnswerReason.UNSPECIFIED, compare=False)
@@ -72,14 +80,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrateStream:
-    """End a running stream in good order; its client resumes it at another router instance."""
+    """End a running response stream in good order; its client resumes it at another router instance."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired event at a time."""
+    """Request a TimerFired event at the time `at`."""
 
     at: int
     timer_id: int
@@ -94,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """Send a message to one router instance, or to all the others where `recipient` is None."""
+    """Send a gossip message to one router instance, or to all others if `recipient` is None."""
 
     recipient: int | None
     data: bytes
@@ -107,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """A line for the log."""
+    """Write one line to the log."""
 
     text: str
 
--- a/llm_router/routing/duration.py
+++ b/llm_router/routing/duration.py
@@ -1,4 +1,4 @@
-"""Units of the policy's clock, which counts integer nanoseconds."""
+"""Units of time for the policy's clock, which counts integer nanoseconds."""
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
--- a/llm_router/routing/events.py
+++ b/llm_router/routing/events.py
@@ -1,6 +1,6 @@
 """Events that the routing policy handles.
 
-All times and spans are integer nanoseconds on the policy's clock, all lengths are tokens."""
+All times and durations are integer nanoseconds on the policy's clock. All lengths are in tokens."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointStatus(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The status of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -27,30 +27,30 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    PREFILLED = "prefilled"  # the prompt was processed, and its KV state waits at the prefill endpoint
+    PREFILLED = "prefilled"  # The prefill endpoint computed the KV state and keeps it for a decode attempt.
 
 
 class ConnectionFault(Enum):
-    """Why a failed connect or a reset says nothing of the endpoint."""
+    """Whether a failed connect or a connection reset has a cause other than the endpoint."""
 
-    NONE = auto()  # it does: the endpoint refused or broke the connection
-    STALE = auto()  # an idle connection was used again; it may have been closed as idle
-    LOCAL = auto()  # a system call on the router's own machine failed
+    NONE = auto()  # The endpoint refused or reset the connection.
+    STALE = auto()  # The attempt used an idle pooled connection, which the endpoint may have closed as idle.
+    LOCAL = auto()  # A system call failed on the router's own host.
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What an endpoint reports of its load; None for what it leaves out.
+    """An endpoint's own figures of its load; a figure that it does not report is None.
 
-    `memory_share` is the part of its KV memory in use, `queued_prompt_tokens` the tokens that wait for
-    prefill or transfer, `queued_requests` the requests that wait."""
+    `memory_share` is the share of its KV memory in use. `queued_prompt_tokens` counts the prompt tokens
+    that wait for prefill or transfer. `queued_requests` counts the waiting requests."""
 
     memory_share: float | None = None
     queued_prompt_tokens: float | None = None
     queued_requests: float | None = None
 
     def updated(self, later: LoadReport) -> LoadReport:
-        """Return this report with the figures of a later one in place of its own."""
+        """Return a copy of this report in which the figures of a later report replace the old ones."""
         return LoadReport(
             self.memory_share if later.memory_share is None else later.memory_share,
             self.queued_prompt_tokens if later.queued_prompt_tokens is None else later.queued_prompt_tokens,
@@ -63,7 +63,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """An entry of the endpoint list; `started_at` is 0 if that was long ago."""
+    """An entry of the endpoint list.
+
+    `started_at` is the endpoint's start time, or 0 if it started long ago."""
 
     endpoint_id: int
     kind: str
@@ -76,9 +78,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """The endpoint list: a full snapshot, or the entries that changed.
+    """An update of the endpoint list: a full snapshot, or only the changed entries.
 
-    `entries` is None where the call to discovery failed."""
+    `entries` is None if the call to discovery failed."""
 
     entries: tuple[EndpointEntry, ...] | None
     is_full: bool
@@ -86,10 +88,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request; one final answer is owed from here on.
+    """A client's request has arrived; the policy gives it exactly one final answer.
 
-    `prefix` names a beginning that the prompt shares with others, of `prefix_tokens` tokens.
-    `expected_duration` is that of the answer. `resumed`: its stream was migrated here from another router."""
+    `prefix` identifies a prefix that the prompt shares with other prompts; it has `prefix_tokens` tokens.
+    `expected_duration` is the expected duration of the response. `resumed` tells that the response stream was
+    migrated from another router instance."""
 
     request_id: str
     class_name: str
@@ -107,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
-    """The response of an attempt has started."""
+    """The first token of an attempt's response has arrived."""
 
     request_id: str
     attempt: int
@@ -117,12 +120,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """How an attempt ended.
+    """An attempt has ended.
 
-    `request_closed`: the client has its final answer or has gone.
-    `cached_tokens`: prompt tokens that the endpoint found in its cache, with OK and PREFILLED.
-    `state_missing`: with OVERLOADED, the KV state to fetch was not there.
-    `connection_fault`: with RESET and CONNECT_FAILED."""
+    `request_closed` tells that the client has its final answer or has disconnected.
+    `cached_tokens` counts the prompt tokens that the endpoint found in its cache, with OK and PREFILLED.
+    `state_missing` tells, with OVERLOADED, that the decode endpoint could not find the KV state to fetch.
+    `connection_fault` gives the cause of a connection failure, with RESET and CONNECT_FAILED."""
 
     request_id: str
     attempt: int
@@ -138,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReservationResult:
-    """Whether the decode endpoint made the reservation that a Reserve action asked for."""
+    """The answer of a decode endpoint to a Reserve action: whether it made the reservation."""
 
     request_id: str
     attempt: int
@@ -148,21 +151,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has disconnected or cancelled; nothing is owed any more."""
+    """The client has disconnected or cancelled; it needs no final answer any more."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set with SetTimer has expired."""
+    """A timer that a SetTimer action started has expired."""
 
     timer_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class LoadProbeEnded:
-    """What came of a ProbeLoad action; the report counts where the status is OK."""
+    """The load probe of a ProbeLoad action has ended; `report` is valid only if the status is OK."""
 
     endpoint_id: int
     status: AttemptStatus
@@ -172,7 +175,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipReceived:
-    """A message from another router instance."""
+    """A gossip message from another router instance has arrived."""
 
     sender: int
     data: bytes
--- a/llm_router/routing/periodic_check.py
+++ b/llm_router/routing/periodic_check.py
@@ -1,4 +1,4 @@
-"""The periodic check while requests wait for their answer."""
+"""The check that runs at regular intervals while requests wait for their first token."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PeriodicCheck:
-    """Runs each CHECK_INTERVAL: detects silence, drops idle entries and advances waiting requests."""
+    """Detects silent endpoints, drops idle table entries and advances requests, once per CHECK_INTERVAL."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._is_scheduled = False
 
     def ensure_scheduled(self) -> None:
-        """Schedule the next check, unless one is."""
+        """Schedule the next check unless one is scheduled already."""
         if not self._is_scheduled:
             self._is_scheduled = True
             self.context.set_timer(CHECK_INTERVAL, self._run)
--- a/llm_router/routing/retry_policy.py
+++ b/llm_router/routing/retry_policy.py
@@ -21,7 +21,7 @@
         """Return whether another attempt is allowed, at some endpoint at least."""
         if request.ended or self._attempts_exhausted(request) or not self._may_hedge(request):
             return False
-        if not request.risky_attempts:
+        if not request.attempts_that_may_have_run:
             return True
         match request.request_class.idempotency:
             case Idempotency.SAFE:
@@ -41,14 +41,14 @@
         scope = request.request_class.deduplication_scope
         return all(
             _share_deduplication(scope, attempt.endpoint.entry, endpoint.entry)
-            for attempt in request.risky_attempts
+            for attempt in request.attempts_that_may_have_run
         )
 
     def retry_deadline(self, request: TrackedRequest) -> int | None:
         """Return until when endpoints drop duplicates of what may have run, None where there is no bound.
 
         It is the timer resolution earlier, so that what is sent just before it arrives in time."""
-        risky = request.risky_attempts
+        risky = request.attempts_that_may_have_run
         if not risky or request.request_class.idempotency is not Idempotency.KEYED:
             return None
         window = request.request_class.deduplication_window
@@ -56,7 +56,7 @@
 
     def may_reject(self, request: TrackedRequest) -> bool:
         """Return whether the client may be told that a retry is harmless."""
-        if not request.open_attempts and not request.risky_attempts:
+        if not request.open_attempts and not request.attempts_that_may_have_run:
             return True
         request_class = request.request_class
         if request_class.idempotency is Idempotency.SAFE:
--- a/llm_router/routing/settings.py
+++ b/llm_router/routing/settings.py
@@ -1,7 +1,7 @@
 """Settings of the routing policy: endpoint kinds, request classes, tenants and limits.
 
-All times are integer nanoseconds and all lengths are tokens. `None` means that the deployment does not say.
-The names that deployments use for these fields stand in `llm_router.simulator.settings_codec`."""
+All times are integer nanoseconds and all lengths are in tokens. `None` means that the deployment does not give
+the value. `llm_router.settings_codec` maps the names that deployments use to these fields."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Role(Enum):
-    """What a kind of endpoint does."""
+    """The role of a kind of endpoint: prefill, decode, or both."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -18,15 +18,15 @@
 
 
 class Idempotency(Enum):
-    """How far a request may be repeated once it may have run."""
+    """How far a request may be repeated after an attempt that may have run."""
 
-    SAFE = "safe"  # any number of times
-    KEYED = "keyed"  # within the deduplication scope and window of its class
-    NONE = "none"  # never
+    SAFE = "safe"  # The request may be repeated any number of times.
+    KEYED = "keyed"  # The request may be repeated within the deduplication scope and window of its class.
+    NONE = "none"  # The request must not be repeated.
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints drop the repeats of a request with an idempotency key."""
+    """Which endpoints together drop repeats of a request with the same idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KindSettings:
-    """A kind of endpoint; `memory_tokens` is its KV cache in tokens."""
+    """A kind of endpoint; `memory_tokens` is the size of its KV memory in tokens."""
 
     name: str
     role: Role
@@ -46,8 +46,8 @@
 class ClassSettings:
     """A class of requests.
 
-    `latency_objective` and `objective_per_1000_tokens` are the objective of the first token: a constant, and
-    what each thousand prompt tokens add. `token_interval` is the objective between two tokens."""
+    The objective for the time to the first token is `latency_objective` plus `objective_per_1000_tokens` for
+    each 1000 prompt tokens. `token_interval` is the objective for the time between two tokens."""
 
     name: str
     latency_objective: int
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantSettings:
-    """A tenant and its quota over all routers: a share of the capacity, and requests a second."""
+    """A tenant and its quota over all router instances: a share of the capacity and a request rate."""
 
     name: str
     capacity_share: float | None = None
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a router instance is configured with."""
+    """The settings of one router instance's routing policy."""
 
     kinds: tuple[KindSettings, ...]
     classes: tuple[ClassSettings, ...]
@@ -92,7 +92,7 @@
     append_prefill: bool = False
     retry_after: bool = False
     max_retry_after: int | None = None
-    must_subscribe: bool = False  # the endpoint list comes only to routers that subscribe
+    must_subscribe: bool = False  # Discovery sends the endpoint list only to routers that subscribe.
     transfer_price: float = 0.0
     probe_price: float = 0.0
     answer_grace: int = 0
@@ -104,17 +104,17 @@
     overload_window: int = 0
 
     def __post_init__(self) -> None:
-        """Check that the settings are possible; raise ValueError with the setting's name if not."""
+        """Validate the settings; raise ValueError with the name of an invalid setting."""
         if not any(kind.role is not Role.PREFILL for kind in self.kinds):
-            raise ValueError("kinds: there is no writer and no mixed kind")
+            raise ValueError("kinds must include a decode kind or a mixed kind")
         if not self.classes:
-            raise ValueError("classes: there are none")
+            raise ValueError("classes must not be empty")
         if self.router_count < 1:
-            raise ValueError("routers: must be at least 1")
+            raise ValueError(f"routers must be at least 1, got {self.router_count}")
         if not 0 < self.slow_start_share <= 1:
-            raise ValueError("cold_share: must be above 0 and at most 1")
+            raise ValueError(f"cold_share must be above 0 and at most 1, got {self.slow_start_share}")
         if self.max_attempts is not None and self.max_attempts < 1:
-            raise ValueError("max_attempts: must be at least 1")
+            raise ValueError(f"max_attempts must be at least 1, got {self.max_attempts}")
         times = {
             "tick": self.timer_resolution,
             "answer_slack": self.answer_grace,
@@ -133,4 +133,4 @@
             times[f"{path}.token_aim"] = request_class.token_interval
         for name, nanoseconds in times.items():
             if (nanoseconds or 0) < 0:
-                raise ValueError(f"{name}: a time cannot be negative")
+                raise ValueError(f"{name} must not be negative, got {nanoseconds} ns")
--- a/llm_router/routing/timers.py
+++ b/llm_router/routing/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the policy."""
+"""The pending timers of the routing policy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Timers:
-    """The callbacks of pending timers by the number of each timer."""
+    """The callbacks of the pending timers, by timer number."""
 
     def __init__(self) -> None:
         self._callbacks: dict[int, TimerCallback] = {}
@@ -23,6 +23,6 @@
         return self._last_id
 
     def fire(self, timer_id: int) -> TrackedRequest | None:
-        """Run the callback of a timer once; return the request that has to be advanced, if any."""
+        """Run a timer's callback and remove it; return the request to advance next, if any."""
         callback = self._callbacks.pop(timer_id, None)
         return callback() if callback else None
