--- a/llm_router/routing/actions.py
+++ b/llm_router/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the routing policy decides in answer to an event.
+"""Actions: the decisions that the routing policy returns for an event.
 
 All times and durations are integer nanoseconds on the policy's clock."""
 
@@ -52,7 +52,7 @@
     DEADLINE_EXCEEDED = "deadline_exceeded"
     # The attempt limit, the class's idempotency or the deduplication window allows no further attempt.
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
-    # No endpoint for the prefill or for the decode accepts new requests before this one would be late.
+    # No endpoint for prefill, or none for decode, accepts new requests soon enough for this one.
     NO_ENDPOINT_IN_TIME = "no_endpoint_in_time"
     QUEUEING_DELAY = (
         "queueing_delay"  # The expected wait in the endpoints' queues would make the request late.
--- a/llm_router/routing/attempt_dispatch.py
+++ b/llm_router/routing/attempt_dispatch.py
@@ -1,4 +1,4 @@
-"""Sends attempts: the one gate that every attempt passes."""
+"""Sends attempts; every attempt of the policy goes through this module."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptDispatcher:
-    """Checks that an attempt is allowed, accounts for it and sends it."""
+    """Checks that an attempt is allowed, records it at its request and endpoint, and sends it."""
 
     def __init__(
         self,
@@ -37,17 +37,19 @@
         self.reservations = reservations
 
     def send_prefill(self, request: TrackedRequest, endpoints: Iterable[EndpointState]) -> bool:
-        """Send to the first allowed endpoint, for prefill if it is not mixed; return whether one was."""
+        """Send the request to the first allowed endpoint; return whether there was one.
+
+        A prefill endpoint only prefills the request; a mixed endpoint also decodes it."""
         return any(
             self._send(request, endpoint, is_prefill=endpoint.role is Role.PREFILL) for endpoint in endpoints
         )
 
     def send_decode(self, request: TrackedRequest, endpoints: Iterable[EndpointState]) -> bool:
-        """Send to the first allowed endpoint, for decoding; return whether one was."""
+        """Send the request for decoding to the first allowed endpoint; return whether there was one."""
         return any(self._send(request, endpoint, is_prefill=False) for endpoint in endpoints)
 
     def _send(self, request: TrackedRequest, endpoint: EndpointState, *, is_prefill: bool) -> bool:
-        """Send, unless draining, the retry policy or slow start forbid it."""
+        """Send the request to an endpoint unless its status, the retry policy or slow start forbids it."""
         if not self._is_allowed(request, endpoint, is_prefill):
             return False
         self._open_attempt(request, endpoint, is_prefill)
--- a/llm_router/routing/attempt_results.py
+++ b/llm_router/routing/attempt_results.py
@@ -1,4 +1,4 @@
-"""Takes in how attempts ended."""
+"""Processes the ends of attempts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptResults:
-    """Records what the end of an attempt says of its endpoint, its request and the averages."""
+    """Updates requests, endpoint health and averages from the ends of attempts."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self.completion = completion
 
     def record(self, attempt: Attempt, event: AttemptEnded) -> None:
-        """Record the end of an attempt, and release what a failed one may have left."""
+        """Record the end of an attempt; after a failure, release the KV state and reservations."""
         request = attempt.request
         attempt.end()
         attempt.may_have_run = not attempt.is_prefill and event.status in MAY_HAVE_RUN
@@ -63,24 +63,24 @@
         elif event.status in FAILED:
             self.failures.record_failure(attempt.endpoint, event)
         elif event.status in GIVEN_UP and attempt.is_prefill and not attempt.is_overtaken:
-            # It would have waited longer still.
+            # The queueing delay is at least as long as the time that this prefill waited.
             self.delays.record(attempt.endpoint, event.elapsed, attempt.uncached_tokens)
         elif event.status is AttemptStatus.OVERLOADED and not event.state_missing:
             self.failures.record_overload(attempt.endpoint, attempt.request)
 
 
 def _has_failed(event: AttemptEnded) -> bool:
-    """Return whether an endpoint served nothing, unless that was a local system call's fault."""
+    """Return whether an attempt gave no result, not counting local system call failures."""
     if event.status is AttemptStatus.CONNECT_FAILED:
         return event.connection_fault is not ConnectionFault.LOCAL
     return event.status in MAY_HAVE_RUN
 
 
 def _may_leave_state(attempt: Attempt, event: AttemptEnded) -> bool:
-    """Return whether a KV state may wait somewhere that nobody knows of.
+    """Return whether KV state of the request may wait at an endpoint without the router's knowledge.
 
-    A prefill that broke off may have finished all the same. So may one whose state its decode endpoint could
-    not reach and reports missing."""
+    A prefill whose response was lost may still have finished. If a decode endpoint reports the KV state
+    missing, it may only have failed to reach the prefill endpoint."""
     if attempt.is_prefill:
         return event.status in MAY_HAVE_RUN
     return event.status is AttemptStatus.OVERLOADED and event.state_missing
--- a/llm_router/routing/cancellation.py
+++ b/llm_router/routing/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancels attempts."""
+"""Cancels attempts that have not returned a token."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def cancel_attempts(context: PolicyContext, attempts: Iterable[Attempt]) -> None:
-    """Cancel those attempts that wait for their first token, where the settings allow it."""
+    """Cancel the attempts that still wait for their first token, if the settings allow cancellation."""
     if not context.settings.may_cancel:
         return
     for attempt in attempts:
--- a/llm_router/routing/decode_results.py
+++ b/llm_router/routing/decode_results.py
@@ -1,4 +1,4 @@
-"""Learns from decode attempts."""
+"""Processes the first tokens and the answers of decode attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DecodeResults:
-    """Records first tokens and finished answers."""
+    """Updates requests, averages and session affinities from decode attempts."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.affinities = affinities
 
     def record_first_token(self, attempt: Attempt) -> None:
-        """Record the first token of an attempt: the client has its answer's start, the KV state is taken."""
+        """Record the first token of an attempt, which shows that the endpoint has fetched the KV state."""
         request = attempt.request
         elapsed = self.context.now - attempt.sent_at
         attempt.start_streaming()
@@ -46,6 +46,6 @@
         self.append_prefill.record_first_token(request, self.context.now - request.arrived_at)
 
     def record_answer(self, request: TrackedRequest, endpoint: EndpointState, event: AttemptEnded) -> None:
-        """Record a finished answer."""
+        """Record a finished answer: its token interval, cached tokens and session affinity."""
         self.append_prefill.record_answer(request, endpoint, event)
         self.affinities.record_answer(request, endpoint, self.context.now)
--- a/llm_router/routing/events.py
+++ b/llm_router/routing/events.py
@@ -31,7 +31,7 @@
 
 
 class ConnectionFault(Enum):
-    """Whether a failed connect or a connection reset has a cause other than the endpoint."""
+    """The cause of a failed connect or a connection reset, if it is not the endpoint."""
 
     NONE = auto()  # The endpoint refused or reset the connection.
     STALE = auto()  # The attempt used an idle pooled connection, which the endpoint may have closed as idle.
--- a/llm_router/routing/policy.py
+++ b/llm_router/routing/policy.py
@@ -1,6 +1,6 @@
-"""Dispatches the events of the routing policy to the parts that decide.
+"""The routing policy's entry point, which passes each event to the parts of the policy that handle it.
 
-`docs/design.md` describes the mechanism (the paper's section 5) and the exceptions made to it."""
+`docs/design.md` describes the mechanism, which follows section 5 of the paper, and the deviations from it."""
 
 from __future__ import annotations
 
@@ -43,14 +43,15 @@
 from llm_router.routing.slow_start import SlowStart
 from llm_router.routing.tracked_request import TrackedRequest
 
-Handler = Callable[[Any], TrackedRequest | None]  # takes its event; the request that it returns is advanced
+# Handles one type of event. The policy then advances the request that the handler returns, if any.
+Handler = Callable[[Any], TrackedRequest | None]
 
 
 class RoutingPolicy:
-    """The decisions of one router instance: takes events, returns actions, does no I/O."""
+    """The routing policy of one router instance: it takes events and returns actions, without any I/O."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Build the policy; `seed` sets its random draws."""
+        """Build the policy; `seed` initializes its random generator."""
         self.settings = settings
         self.context = PolicyContext(settings, seed)
         self.classes = {request_class.name: request_class for request_class in settings.classes}
@@ -167,10 +168,10 @@
         )
 
     def handle(self, now: int, event: events.Event) -> list[actions.Action]:
-        """Return the actions that an event calls for, in order; `now` is in nanoseconds and never decreases.
+        """Handle an event and return the resulting actions in order.
 
-        Events of unknown types, and those about requests, attempts or endpoints that are not known, have no
-        effect."""
+        `now` is in nanoseconds and never decreases. Events of unknown types have no effect, nor do events
+        about unknown requests, attempts or endpoints."""
         self.context.start_event(now)
         handler = self._handlers.get(type(event))
         if handler is not None:
@@ -199,7 +200,7 @@
         self.estimates.prompt_tokens.add(event.prompt_tokens)
         self.admission.record_arrival(event.tenant)
         self.popularity.record(event.prefix)
-        # The timer is one resolution early, so that the answer is in time.
+        # The timer is set early by the timer resolution, so that the final answer is in time.
         delay = max(0, event.time_remaining - self.settings.timer_resolution)
         self.context.set_timer(delay, lambda: self._on_deadline(request))
         self.periodic_check.ensure_scheduled()
--- a/llm_router/routing/prefill_results.py
+++ b/llm_router/routing/prefill_results.py
@@ -1,4 +1,4 @@
-"""Learns from finished prefills."""
+"""Processes the results of finished prefills."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PrefillResults:
-    """Records where the KV state waits, the prefill speed, the queueing delay and what is cached now."""
+    """Records the location of the KV state, the prefill speed, the queueing delay and the cached prefix."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self.delays = delays
 
     def record(self, request: TrackedRequest, endpoint: EndpointState, event: AttemptEnded) -> None:
-        """Record a finished prefill."""
+        """Record a finished prefill of a request at an endpoint."""
         request.state_endpoint = endpoint
         request.state_since = self.context.now
         request.prefilled_by = endpoint
--- a/llm_router/routing/request_completion.py
+++ b/llm_router/routing/request_completion.py
@@ -1,4 +1,4 @@
-"""Ends requests: final answers and the release of what endpoints hold for them."""
+"""Ends requests: gives the router's final answers and releases KV state and reservations."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class RequestCompletion:
-    """Gives the router's own final answers and releases KV state and reservations."""
+    """Rejects, fails and closes requests, and releases their KV state and reservations."""
 
     def __init__(self, context: PolicyContext, retry_policy: RetryPolicy) -> None:
         self.context = context
         self.retry_policy = retry_policy
 
     def finish(self, request: TrackedRequest, reason: AnswerReason) -> None:
-        """Give the final answer: rejected where a retry is harmless, else failed."""
+        """Reject the request if a retry by the client is harmless; otherwise fail it."""
         if self.retry_policy.may_reject(request):
             retry_after = self._retry_after(request)
             self.context.emit(RejectRequest(request.request_id, retry_after, reason))
@@ -39,7 +39,7 @@
         request.reservation_targets.clear()
 
     def _retry_after(self, request: TrackedRequest) -> int:
-        """Return the nanoseconds that the client should wait before a retry, 0 for no advice."""
+        """Return how many nanoseconds the client should wait before a retry; 0 gives no advice."""
         settings = self.context.settings
         if not settings.retry_after:
             return 0
--- a/llm_router/routing/request_path.py
+++ b/llm_router/routing/request_path.py
@@ -1,4 +1,4 @@
-"""Sends a request to the next phase of its path: prefill, then decode, or both at one endpoint."""
+"""Sends a request to its next phase: prefill, then decode, or both at one endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestPath:
-    """Tries the endpoints of the next phase in the order of their selection."""
+    """Tries the endpoints of a request's next phase in order of preference."""
 
     def __init__(
         self,
@@ -28,7 +28,9 @@
         self.load_probes = load_probes
 
     def send_next(self, request: TrackedRequest) -> None:
-        """Send a request to its next phase, if an endpoint takes it now and no load report is waited for."""
+        """Send a request to an endpoint of its next phase.
+
+        Nothing is sent while the request waits for a load report, or if no endpoint accepts it now."""
         if request.phase is RequestPhase.PREFILLED:
             self.dispatcher.send_decode(request, self.decode_selection.ordered(request))
             return
@@ -43,5 +45,5 @@
             self.send_overflow(request)
 
     def send_overflow(self, request: TrackedRequest) -> bool:
-        """Send a request to a decode endpoint that prefills it; return whether there was one."""
+        """Send a request to a decode endpoint that also prefills it; return whether one accepted it."""
         return self.dispatcher.send_decode(request, self.prefill_overflow.endpoints(request))
--- a/llm_router/routing/request_progress.py
+++ b/llm_router/routing/request_progress.py
@@ -1,4 +1,4 @@
-"""Advances requests that have no attempt out."""
+"""Advances requests that have no open attempt."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from llm_router.routing.retry_policy import RetryPolicy
 from llm_router.routing.tracked_request import RequestPhase, TrackedRequest
 
-CHECK_INTERVAL = 50 * MILLISECOND  # nanoseconds between two tries of a request that waits
-DEFAULT_RELEASE_TIMEOUT = 120 * SECOND  # nanoseconds, where the settings demand no release
+CHECK_INTERVAL = 50 * MILLISECOND  # nanoseconds between two attempts to advance a waiting request
+DEFAULT_RELEASE_TIMEOUT = 120 * SECOND  # nanoseconds, used if the settings have no release timeout
 
 
 class RequestProgress:
-    """Sees to it that each request has sent, waits within its limits, or has ended."""
+    """Takes the next step of each request without an open attempt: send, wait, release or end."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.completion = completion
 
     def advance(self, request: TrackedRequest) -> None:
-        """Advance a request that has no attempt out; forget it once it has ended."""
+        """Advance a request that has no open attempt; remove it if it has ended."""
         if request.open_attempts or self.requests.get(request.request_id) is not request:
             return
         if not request.ended:
@@ -45,7 +45,7 @@
             del self.requests[request.request_id]
 
     def _take_next_step(self, request: TrackedRequest) -> None:
-        """Send the request on, leave it to wait, release its KV state, or end it."""
+        """Send the request to an endpoint, let it wait, release its KV state, or end it."""
         reason = self._rejection_reason(request)
         is_prefilled = request.phase is RequestPhase.PREFILLED
         if reason is not None:
@@ -59,7 +59,7 @@
             self.path.send_next(request)
 
     def _rejection_reason(self, request: TrackedRequest) -> AnswerReason | None:
-        """Return why a request can get no attempt in time, None if it may get one."""
+        """Return the reason why no further attempt can be made in time, or None if one can."""
         if self.context.now >= request.deadline - self.context.settings.timer_resolution:
             return AnswerReason.DEADLINE_EXCEEDED
         if not self.retry_policy.may_send(request):
@@ -69,9 +69,10 @@
         return None
 
     def _release_time(self, request: TrackedRequest) -> int:
-        """Return until when the KV state of a prefill waits for a decode endpoint.
+        """Return the time after which the KV state of a prefill is released.
 
-        It ends two checks before the release timeout, as a check comes late by up to one."""
+        The time lies two check intervals before the release timeout, because the periodic check may run up to
+        one interval late."""
         timeout = self.context.settings.release_timeout
         if timeout is None:
             timeout = DEFAULT_RELEASE_TIMEOUT
--- a/llm_router/routing/reservations.py
+++ b/llm_router/routing/reservations.py
@@ -9,14 +9,15 @@
 from llm_router.routing.statistics import RECENT_SPAN, DecayingCounter
 from llm_router.routing.tracked_request import TrackedRequest
 
-MAX_RESERVATIONS = 4  # decode endpoints asked during one prefill, one after another
+MAX_RESERVATIONS = 4  # maximum number of decode endpoints that are asked, one by one, during a prefill
 
 
 class Reservations:
-    """Asks for reservations, so that the KV state flows early, and counts what came of them.
+    """Requests reservations and counts how many are granted and denied.
 
-    Avoids decode endpoints that other router instances filled unseen. A long prefill leaves its reservation
-    idle."""
+    A reservation lets the KV state transfer start early. It also avoids decode endpoints that other router
+    instances have filled without this instance's knowledge. Its cost is capacity that stays idle during a
+    long prefill."""
 
     def __init__(
         self, context: PolicyContext, decode_selection: DecodeSelection, slow_start: SlowStart
@@ -28,7 +29,7 @@
         self._denied = DecayingCounter(RECENT_SPAN)
 
     def request_next(self, request: TrackedRequest) -> None:
-        """Ask the best decode endpoint that was not asked, if the settings allow reservations."""
+        """Request a reservation at the best decode endpoint not yet asked, if the settings allow it."""
         targets = request.reservation_targets
         if not self.context.settings.reservations or len(targets) >= MAX_RESERVATIONS:
             return
@@ -39,7 +40,7 @@
                 return
 
     def record_result(self, request: TrackedRequest, *, granted: bool) -> None:
-        """Record the answer of the endpoint asked last; where it is a denial, ask the next."""
+        """Record the answer to the latest reservation request; after a denial, ask the next endpoint."""
         if not request.reservation_targets:
             return
         counter = self._granted if granted else self._denied
@@ -52,10 +53,11 @@
             self.request_next(request)
 
     def denied_share(self) -> float:
-        """Return the share of recent reservation requests that were denied; a few say little.
+        """Return the share of recent reservation requests that were denied.
 
-        It covers any shortage at decode endpoints: bursts, lost endpoints, long prompts. It misleads where
-        full endpoints are asked while others have capacity; it fades with RECENT_SPAN."""
+        The denominator has an extra 1, so that a few requests give a low share. The share reflects any
+        shortage at decode endpoints: bursts, lost endpoints, long prompts. It is too high if full endpoints
+        are asked while others have capacity. Older requests fade out over RECENT_SPAN."""
         denied = self._denied.decay(self.context.now)
         granted = self._granted.decay(self.context.now)
         return denied / (denied + granted + 1)
--- a/llm_router/routing/retry_policy.py
+++ b/llm_router/routing/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent again: attempt limits, idempotency and deduplication."""
+"""Decides whether a request may be sent again, by attempt limit, idempotency and deduplication."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class RetryPolicy:
-    """Applies the settings of a request's class to its attempts so far."""
+    """Decides about retries from the settings of a request's class and its attempts so far."""
 
     def __init__(self, context: PolicyContext) -> None:
         self.context = context
 
     def may_send(self, request: TrackedRequest) -> bool:
-        """Return whether another attempt is allowed, at some endpoint at least."""
+        """Return whether the request may have another attempt at any endpoint."""
         if request.ended or self._attempts_exhausted(request) or not self._may_hedge(request):
             return False
         if not request.attempts_that_may_have_run:
@@ -33,7 +33,7 @@
                 return False
 
     def may_send_to(self, request: TrackedRequest, endpoint: EndpointState) -> bool:
-        """Return whether another attempt is allowed at an endpoint."""
+        """Return whether the request may have another attempt at a given endpoint."""
         if not self.may_send(request):
             return False
         if request.request_class.idempotency is not Idempotency.KEYED:
@@ -45,9 +45,10 @@
         )
 
     def retry_deadline(self, request: TrackedRequest) -> int | None:
-        """Return until when endpoints drop duplicates of what may have run, None where there is no bound.
+        """Return the time until which endpoints drop duplicates of this request.
 
-        It is the timer resolution earlier, so that what is sent just before it arrives in time."""
+        Return None if there is no such limit. The timer resolution is subtracted from the time, so that an
+        attempt sent just before it arrives within the deduplication window."""
         risky = request.attempts_that_may_have_run
         if not risky or request.request_class.idempotency is not Idempotency.KEYED:
             return None
@@ -55,7 +56,7 @@
         return risky[0].sent_at + window - self.context.settings.timer_resolution
 
     def may_reject(self, request: TrackedRequest) -> bool:
-        """Return whether the client may be told that a retry is harmless."""
+        """Return whether the request may be rejected, which tells the client that a retry is harmless."""
         if not request.open_attempts and not request.attempts_that_may_have_run:
             return True
         request_class = request.request_class
@@ -69,14 +70,14 @@
         return limit is not None and len(request.attempts) >= limit
 
     def _may_hedge(self, request: TrackedRequest) -> bool:
-        """Return whether another attempt may be out beside those that are."""
+        """Return whether another attempt may run in parallel with the open attempts, if there are any."""
         if not request.open_attempts:
             return True
         return self.context.settings.hedging and request.request_class.idempotency is Idempotency.SAFE
 
 
 def _share_deduplication(scope: DeduplicationScope, one: EndpointEntry, other: EndpointEntry) -> bool:
-    """Return whether two endpoints drop one another's duplicates."""
+    """Return whether two endpoints drop each other's duplicates under a deduplication scope."""
     match scope:
         case DeduplicationScope.ALL:
             return True
--- a/llm_router/routing/session_affinity.py
+++ b/llm_router/routing/session_affinity.py
@@ -1,4 +1,4 @@
-"""Session affinity: which endpoints served a session last."""
+"""Session affinity: a table of the endpoints that served each session last."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from llm_router.routing.endpoint_state import EndpointState
     from llm_router.routing.tracked_request import TrackedRequest
 
-IDLE_TIMEOUT = 120 * SECOND  # nanoseconds after which an endpoint's cache has most likely lost a session
+IDLE_TIMEOUT = 120 * SECOND  # nanoseconds after which an endpoint has most likely evicted an idle session
 
 
 @dataclass(slots=True)
 class SessionAffinity:
-    """Who decoded a session's last answer, and who prefilled how many tokens of its prompt."""
+    """The endpoints that decoded and prefilled a session's last answer, with the number of prompt tokens."""
 
     decode_endpoint_id: int
     updated_at: int
@@ -28,23 +28,25 @@
 
 
 class SessionAffinityTable:
-    """The affinities by session, else by prefix; the one that was updated last stands last."""
+    """The affinities by session id, or by prefix for requests without a session.
+
+    The entries are in the order of their last update, the latest last."""
 
     def __init__(self) -> None:
         self.entries: dict[str, SessionAffinity] = {}
 
     def find(self, received: RequestReceived) -> SessionAffinity | None:
-        """Return the affinity of a request's session."""
+        """Return the affinity of a request's session or prefix, or None."""
         return self.entries.get(self._key(received))
 
     def record_answer(self, request: TrackedRequest, decoded_by: EndpointState, now: int) -> None:
-        """Record who served a request; an append-prefill leaves the prefill endpoint as it was."""
+        """Record the endpoints that served a request; an append-prefill keeps the prefill endpoint."""
         key = self._key(request.received)
         self.entries.pop(key, None)
         self.entries[key] = self._next_entry(request, decoded_by, now)
 
     def drop_idle(self, now: int) -> None:
-        """Drop the sessions that had no answer within IDLE_TIMEOUT."""
+        """Drop the entries without an answer in the last IDLE_TIMEOUT nanoseconds."""
         drop_older_than(self.entries, now - IDLE_TIMEOUT)
 
     @staticmethod
--- a/llm_router/routing/settings.py
+++ b/llm_router/routing/settings.py
@@ -1,7 +1,7 @@
 """Settings of the routing policy: endpoint kinds, request classes, tenants and limits.
 
-All times are integer nanoseconds and all lengths are in tokens. `None` means that the deployment does not give
-the value. `llm_router.settings_codec` maps the names that deployments use to these fields."""
+All times are integer nanoseconds and all lengths are in tokens. A value is `None` if the deployment does not
+give it. `llm_router.settings_codec` maps the names that deployments use to these fields."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Idempotency(Enum):
-    """How far a request may be repeated after an attempt that may have run."""
+    """The rule for repeating a request after an attempt that may have run."""
 
     SAFE = "safe"  # The request may be repeated any number of times.
     KEYED = "keyed"  # The request may be repeated within the deduplication scope and window of its class.
@@ -26,7 +26,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints together drop repeats of a request with the same idempotency key."""
+    """The group of endpoints within which repeats with the same idempotency key are dropped."""
 
     ALL = "all"
     ZONE = "zone"
--- a/llm_router/routing/tracked_request.py
+++ b/llm_router/routing/tracked_request.py
@@ -128,7 +128,7 @@
     deadline: int
     affinity: SessionAffinity | None
     attempts: list[Attempt] = field(default_factory=list)
-    append_endpoint: EndpointState | None = None  # decode endpoint chosen for an append-prefill of this turn
+    append_endpoint: EndpointState | None = None  # decode endpoint that is to append-prefill this turn
     state_endpoint: EndpointState | None = None  # prefill endpoint where the KV state waits
     state_since: int = 0  # time from which the release timeout of the KV state counts
     prefilled_by: EndpointState | None = None
