--- a/llm_router/field_codec.py
+++ b/llm_router/field_codec.py
@@ -1,4 +1,4 @@
-"""Typed reads of `name=value` fields, the form in which the simulator and the settings write everything."""
+"""Reads typed values from `name=value` fields, the format of simulator messages and settings."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class FieldError(Exception):
-    """A line, or a field of one, that the form does not allow; the message names the field."""
+    """A line or field is malformed; the message names the field."""
 
 
 class Fields:
     """The fields of one line or of one settings tree, by name.
 
-    Every read raises FieldError where the field is missing or is not of the asked type."""
+    Each read method raises FieldError if the field is missing or does not have the requested type."""
 
     __slots__ = ("values",)
 
@@ -27,7 +27,7 @@
 
     @classmethod
     def parse(cls, words: Iterable[str]) -> Fields:
-        """Return the fields of a line that has been split into `name=value` words."""
+        """Return the fields of a line, given its `name=value` words."""
         values: dict[str, str] = {}
         for word in words:
             name, separator, value = word.partition("=")
@@ -40,14 +40,14 @@
         return name in self.values
 
     def text(self, name: str) -> str:
-        """Return a required field as it is written."""
+        """Return the unchanged text of a required field."""
         try:
             return self.values[name]
         except KeyError:
             raise FieldError(f"{name} is missing") from None
 
     def integer(self, name: str) -> int:
-        """Return a required whole number."""
+        """Return the value of a required field that is a whole number."""
         value = self.text(name)
         try:
             return int(value)
@@ -55,7 +55,7 @@
             raise FieldError(f"{name}={value} is not a whole number") from None
 
     def number(self, name: str) -> float:
-        """Return a required finite number."""
+        """Return the value of a required field that is a finite number."""
         value = self.text(name)
         try:
             result = float(value)
@@ -66,44 +66,48 @@
         return result
 
     def rounded(self, name: str) -> int:
-        """Return a required count or time in nanoseconds, which may be written with a decimal point."""
+        """Return the value of a required field, rounded to an integer.
+
+        This reads counts and times in nanoseconds, which may have a decimal point."""
         value = self.text(name)
         if value.isdecimal():
-            return int(value)  # not by way of a float, which would lose digits
+            return int(value)  # A conversion to float would lose digits of a large integer.
         return round(self.number(name))
 
     def choice(self, name: str, meanings: Mapping[str, Value]) -> Value:
-        """Return the meaning of a required field that holds one of several words."""
+        """Return the object in `meanings` for the word in a required field."""
         value = self.text(name)
         if value not in meanings:
-            raise FieldError(f"{name}={value} is none of {', '.join(meanings)}")
+            raise FieldError(f"{name}={value} is not one of {', '.join(meanings)}")
         return meanings[value]
 
     def boolean(self, name: str) -> bool:
-        """Return a required truth value."""
+        """Return the value of a required Boolean field."""
         return self.choice(name, BOOLEANS)
 
     def optional(self, name: str, read: Callable[[str], Value]) -> Value | None:
-        """Return what `read`, a read of these fields, makes of a field; None if it is absent or empty."""
+        """Return the value that the read method `read` gives for a field; None if it is absent or empty."""
         return read(name) if self.values.get(name) else None
 
     def items(self, name: str) -> list[str]:
-        """Return the items of a comma-joined list; an absent list is empty."""
+        """Return the items of a comma-separated field; an absent field has no items."""
         value = self.values.get(name)
         return value.split(",") if value else []
 
     def item(self, name: str, index: int) -> Fields:
-        """Return one item of a comma-joined list as the only field, or no field where the list is shorter."""
+        """Return one item of a comma-separated field as a field of the same name.
+
+        The result has no fields if the list is shorter."""
         items = self.items(name)
         return Fields({name: items[index]} if index < len(items) else {})
 
-    def below(self, prefix: str) -> Fields:
-        """Return the fields whose names start with a prefix, without that prefix."""
+    def with_prefix(self, prefix: str) -> Fields:
+        """Return the fields whose names start with a prefix, and remove the prefix from the names."""
         return Fields(
             {name[len(prefix) :]: value for name, value in self.values.items() if name.startswith(prefix)}
         )
 
 
-def present(**values: object) -> dict[str, Any]:
-    """Return the arguments that are not None, so that a dataclass's default stands for each of the others."""
+def without_none(**values: object) -> dict[str, Any]:
+    """Return the arguments that are not None, so that a dataclass uses its defaults for the others."""
     return {name: value for name, value in values.items() if value is not None}
--- a/llm_router/load_gauges.py
+++ b/llm_router/load_gauges.py
@@ -1,4 +1,6 @@
-"""Translates the gauges in endpoints' load reports, which the platform and the simulator name alike."""
+"""Converts load gauges of endpoints to load reports.
+
+The platform and the simulator use the same gauge names."""
 
 from __future__ import annotations
 
@@ -6,13 +8,13 @@
 
 from llm_router.routing.events import LoadReport
 
-MEMORY_SHARE = "x0"  # the part of the KV memory in use
-QUEUED_PROMPT_KILOTOKENS = "x1"
-QUEUED_REQUESTS = "queue"
+MEMORY_SHARE = "x0"  # share of the KV memory in use
+QUEUED_PROMPT_KILOTOKENS = "x1"  # thousands of prompt tokens that wait for prefill or transfer
+QUEUED_REQUESTS = "queue"  # number of waiting requests
 
 
 def report_from_gauges(gauges: Mapping[str, float]) -> LoadReport:
-    """Return a load report from its gauges by name; gauges of other names are ignored."""
+    """Return the load report for gauge values by name; unknown gauges are ignored."""
     kilotokens = gauges.get(QUEUED_PROMPT_KILOTOKENS)
     return LoadReport(
         memory_share=gauges.get(MEMORY_SHARE),
--- a/llm_router/routing/failure_detection.py
+++ b/llm_router/routing/failure_detection.py
@@ -27,9 +27,8 @@
     def __init__(self, context: PolicyContext, gossip: Gossip) -> None:
         self.context = context
         self.gossip = gossip
-        self._first_token_time = {
-            role: MovingAverage() for role in Role
-        }  # mean nanoseconds to the first token
+        # Mean nanoseconds from a decode attempt to its first token, by the role of the endpoint.
+        self._first_token_time = {role: MovingAverage() for role in Role}
 
     def record_response(self, attempt: Attempt) -> None:
         """Record that an endpoint has answered an attempt, and so is up."""
--- a/llm_router/settings_codec.py
+++ b/llm_router/settings_codec.py
@@ -1,11 +1,11 @@
-"""Reads the routing policy's settings under the names that deployments use for them."""
+"""Reads the routing policy's settings from fields under the names that deployments use."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import Any
 
-from llm_router.field_codec import Fields, present
+from llm_router.field_codec import Fields, without_none
 from llm_router.routing.settings import (
     ClassSettings,
     DeduplicationScope,
@@ -21,7 +21,7 @@
 DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
 MUST_SUBSCRIBE = {"ask": True, "push": False}
 
-# Lists beside `kinds` with one item a kind, and beside `lanes` with one item a class.
+# Comma-separated lists. The first two have one item for each of `kinds`, the others one for each of `lanes`.
 ROLE_BY_KIND = "family_info.duty_by_kind"
 MEMORY_BY_KIND = "family_info.memory_tokens"
 TOKEN_INTERVAL_BY_CLASS = "family_info.token_aim"
@@ -30,9 +30,9 @@
 
 
 def read_settings(fields: Fields) -> Settings:
-    """Return the settings that a router instance is started with.
+    """Return the settings of a router instance.
 
-    Raise FieldError for a field that cannot be read and ValueError for settings that are impossible."""
+    Raise FieldError if a field is malformed, and ValueError if a setting is invalid."""
     kinds = fields.items("kinds")
     return Settings(
         kinds=tuple(_read_kind(fields, name, index) for index, name in enumerate(kinds)),
@@ -46,8 +46,8 @@
 
 
 def _read_instance(fields: Fields) -> dict[str, Any]:
-    """Return the settings that concern this instance among the others."""
-    return present(
+    """Return the settings of this router instance: its index, its zone and its timer resolution."""
+    return without_none(
         router_count=fields.optional("balancers", fields.integer),
         router_index=fields.optional("position", fields.integer),
         zone=fields.optional("my_zone", fields.text),
@@ -57,8 +57,8 @@
 
 
 def _read_permissions(fields: Fields) -> dict[str, Any]:
-    """Return what the deployment allows the policy to do."""
-    return present(
+    """Return the settings that allow or limit actions of the policy, such as hedging and gossip."""
+    return without_none(
         max_attempts=fields.optional("allowed.attempts_cap", fields.integer),
         may_cancel=fields.optional("allowed.cancel", fields.boolean),
         hedging=fields.optional("allowed.second_copies", fields.boolean),
@@ -70,8 +70,8 @@
 
 
 def _read_endpoint_facts(fields: Fields) -> dict[str, Any]:
-    """Return what the endpoints offer, and how they are discovered."""
-    return present(
+    """Return the settings about the features of the endpoints and about discovery."""
+    return without_none(
         reservations=fields.optional("family_info.ahead", fields.boolean),
         stream_migration=fields.optional("family_info.resume", fields.boolean),
         append_prefill=fields.optional("family_info.local_read", fields.boolean),
@@ -83,8 +83,8 @@
 
 
 def _read_rules(fields: Fields) -> dict[str, Any]:
-    """Return the rules that the policy is measured by."""
-    return present(
+    """Return the settings of the protocol's rules: grace times, slow start and overload."""
+    return without_none(
         answer_grace=fields.optional("rules.answer_slack", fields.rounded),
         drain_grace=fields.optional("rules.drain_grace", fields.rounded),
         slow_start_window=fields.optional("rules.cold", fields.rounded),
@@ -95,12 +95,12 @@
 
 
 def _read_class(fields: Fields, index: int) -> ClassSettings:
-    """Return one class of requests."""
+    """Return the settings of the request class at an index."""
     interval = fields.item(TOKEN_INTERVAL_BY_CLASS, index)
     token_interval = interval.optional(TOKEN_INTERVAL_BY_CLASS, interval.rounded)
     objective_per_1000_tokens = _read_objective_per_1000_tokens(fields, index)
-    own = fields.below(f"lanes.{index}.")
-    optional = present(
+    own = fields.with_prefix(f"lanes.{index}.")
+    optional = without_none(
         token_interval=token_interval,
         objective_per_1000_tokens=objective_per_1000_tokens,
         priority_weight=own.optional("worth", own.number),
@@ -120,7 +120,7 @@
 
 
 def _read_objective_per_1000_tokens(fields: Fields, index: int) -> int | None:
-    """Return in nanoseconds what a class's objective is longer by for each 1000 prompt tokens."""
+    """Return the nanoseconds that each 1000 prompt tokens add to a class's latency objective."""
     item = fields.item(OBJECTIVE_PER_1000_BY_CLASS, index)
     if OBJECTIVE_PER_1000_BY_CLASS not in item:
         return None
@@ -128,15 +128,15 @@
 
 
 def _read_kind(fields: Fields, name: str, index: int) -> KindSettings:
-    """Return one kind of endpoint."""
+    """Return the settings of a kind of endpoint."""
     role = fields.item(ROLE_BY_KIND, index).choice(ROLE_BY_KIND, ROLES)
     memory = fields.item(MEMORY_BY_KIND, index)
     return KindSettings(name, role, memory.optional(MEMORY_BY_KIND, memory.rounded))
 
 
 def _read_tenant(fields: Fields, index: int) -> TenantSettings:
-    """Return one tenant."""
-    own = fields.below(f"projects.{index}.")
+    """Return the settings of the tenant at an index."""
+    own = fields.with_prefix(f"projects.{index}.")
     return TenantSettings(
         name=own.text("name"),
         capacity_share=own.optional("share", own.number),
@@ -145,5 +145,7 @@
 
 
 def _indices(fields: Fields, count_name: str) -> Iterable[int]:
-    """Return the indices of a list of objects; an absent list is empty."""
+    """Return the indices of a list of objects, given the name of its count field.
+
+    A list without that field is empty."""
     return range(fields.integer(count_name)) if count_name in fields else ()
--- a/llm_router/simulator/__init__.py
+++ b/llm_router/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's line protocol, to and from the routing policy's messages."""
+"""Connects routing policies to the simulator by its line protocol."""
--- a/llm_router/simulator/__main__.py
+++ b/llm_router/simulator/__main__.py
@@ -1,4 +1,6 @@
-"""Serves the simulator's protocol on standard input and output: `python -m llm_router.simulator`."""
+"""Serves the simulator's line protocol on standard input and output.
+
+Start it with `python -m llm_router.simulator`."""
 
 from __future__ import annotations
 
@@ -9,7 +11,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends; return 1 after a line that cannot be read."""
+    """Answer batches until the input ends; return 1 if a line is malformed, otherwise 0."""
     lines = NumberedLines(sys.stdin)
     try:
         SimulatorHost().run(lines, sys.stdout)
--- a/llm_router/simulator/action_codec.py
+++ b/llm_router/simulator/action_codec.py
@@ -1,4 +1,4 @@
-"""Writes the policy's actions as the simulator's lines."""
+"""Encodes the routing policy's actions as lines of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from llm_router.routing import actions
 
-ALL_ROUTERS = -1  # the recipient of gossip that goes to every other router instance
-EMPTY_MESSAGE = "-"
+ALL_ROUTERS = -1  # recipient number for gossip to all other router instances
+EMPTY_MESSAGE = "-"  # stands for a gossip message without content
 
 
 def encode_action(router_id: str, action: actions.Action) -> str:
-    """Return one action of a router instance as a line without its line feed."""
+    """Return the line for an action of a router instance, without the line feed."""
     name, fields = _name_and_fields(action)
     return f"{name} router_id={router_id} {fields}"
 
 
 def _name_and_fields(action: actions.Action) -> tuple[str, str]:  # noqa: C901, PLR0911, PLR0912 - a flat table
-    """Return an action's name and its fields on the wire."""
+    """Return the name and the fields of an action on the wire."""
     match action:
         case actions.StartAttempt():
             return "pass_on", f"req={action.request_id} within={action.timeout} engine={action.endpoint_id}"
@@ -49,7 +49,7 @@
 
 
 def _gossip_fields(action: actions.SendGossip) -> str:
-    """Return the fields of a message to other router instances."""
+    """Return the wire fields of a gossip message to other router instances."""
     recipient = ALL_ROUTERS if action.recipient is None else action.recipient
     data = base64.b64encode(action.data).decode() or EMPTY_MESSAGE
     return f"dest={recipient} msg={data}"
--- a/llm_router/simulator/event_codec.py
+++ b/llm_router/simulator/event_codec.py
@@ -1,4 +1,4 @@
-"""Reads the policy's events from the simulator's lines."""
+"""Decodes events for the routing policy from lines of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from llm_router.field_codec import FieldError, Fields, present
+from llm_router.field_codec import FieldError, Fields, without_none
 from llm_router.load_gauges import report_from_gauges
 from llm_router.routing import events
 from llm_router.routing.events import AttemptStatus, ConnectionFault, EndpointStatus, LoadReport
@@ -29,16 +29,18 @@
     "handover": AttemptStatus.PREFILLED,
 }
 RESERVATION_GRANTED = {"1": True, "2": False}
-# The field `info` means one of three things, by how the attempt ended.
+# The meaning of the field `info` depends on the status: cached tokens, connection fault or missing KV state.
 CACHED_TOKENS_IN_INFO = (AttemptStatus.OK, AttemptStatus.PREFILLED)
 CONNECTION_FAULT_IN_INFO = (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
 CONNECTION_FAULTS = {1: ConnectionFault.STALE, 2: ConnectionFault.LOCAL}
-STATE_MISSING_INFO = 1  # of an overloaded endpoint: it does not have the KV state
-EMPTY_MESSAGE = "-"
+STATE_MISSING_INFO = (
+    1  # value of `info` with which an overloaded endpoint reports that the KV state is missing
+)
+EMPTY_MESSAGE = "-"  # stands for a gossip message without content
 
 
 class AttemptKey(NamedTuple):
-    """The fields that name an attempt, in the order of the events' own fields."""
+    """The fields that identify an attempt, in the same order as in the events."""
 
     request_id: str
     attempt: int
@@ -46,19 +48,19 @@
 
 
 def decode_event(name: str, fields: Fields) -> events.Event:
-    """Return the event that a line of this name stands for; raise FieldError for a malformed field."""
+    """Return the event for a message name and its fields; raise FieldError if a field is malformed."""
     return DECODERS[name](fields)
 
 
 def decode_entry(fields: Fields) -> events.EndpointEntry:
-    """Return one entry of an endpoint list."""
+    """Return the endpoint list entry that a line's fields describe."""
     return events.EndpointEntry(
         endpoint_id=fields.integer("engine"),
         kind=fields.text("kind"),
         zone=fields.text("dc"),
         cell=fields.integer("unit_group"),
         status=fields.choice("condition", ENDPOINT_STATUSES),
-        **present(
+        **without_none(
             weight=fields.optional("weight", fields.number),
             started_at=fields.optional("born", fields.rounded),
         ),
@@ -72,7 +74,7 @@
         prompt_tokens=fields.integer("n_prompt"),
         max_output_tokens=fields.integer("max_tokens"),
         time_remaining=fields.rounded("grace"),
-        **present(
+        **without_none(
             session=fields.optional("thread", fields.text),
             prefix=fields.optional("prefix", fields.text),
             prefix_tokens=fields.optional("shared_len", fields.integer),
@@ -138,12 +140,12 @@
 
 
 def _attempt_key(fields: Fields) -> AttemptKey:
-    """Return the fields that name an attempt."""
+    """Return the fields that identify an attempt."""
     return AttemptKey(fields.text("req"), fields.integer("attempt"), fields.integer("engine"))
 
 
 def _load_report(fields: Fields) -> LoadReport:
-    """Return the load report of a line; without the field `gauge` it is empty."""
+    """Return the load report in the field `gauge`, or an empty report if the field is absent."""
     gauges: dict[str, float] = {}
     for gauge in fields.items("gauge"):
         name, _, value = gauge.partition(":")
--- a/llm_router/simulator/host.py
+++ b/llm_router/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs any number of independent router instances on the simulator's batches."""
+"""Runs independent router instances on the batches of messages that the simulator sends."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class SimulatorHost:
-    """The router instances by name, the endpoint lists by slot, and the batch's clock in nanoseconds."""
+    """Router instances by id, endpoint lists by slot, and the clock of the current batch in nanoseconds."""
 
     def __init__(self) -> None:
         self.routers: dict[str, RoutingPolicy] = {}
@@ -35,30 +35,32 @@
         self.now = 0
 
     def run(self, lines: Iterator[str], output: TextIO) -> None:
-        """Answer batches until the input ends; raise FieldError or ValueError for a malformed line."""
+        """Answer batches until the input ends; raise FieldError or ValueError if a line is malformed."""
         for line in lines:
             words = line.split()
             if not words or words[0] != BATCH_START:
-                raise FieldError("a batch must open with begin_batch")
+                raise FieldError("a batch must start with a begin_batch line")
             self.now = Fields.parse(words[1:]).rounded("clock")
             reply = self._run_batch(lines)
             output.write("\n".join([*reply, f"{BATCH_ANSWERED}\n"]))
             output.flush()
 
     def _run_batch(self, lines: Iterator[str]) -> list[str]:
-        """Handle a batch's messages up to its end; return the lines of the actions that they call for."""
+        """Handle the messages of one batch and return the lines of the resulting actions."""
         reply: list[str] = []
         for line in lines:
             words = line.split()
             if not words:
-                raise FieldError("an empty line")
+                raise FieldError("a line within a batch is empty")
             if words[0] == BATCH_END:
                 return reply
             reply.extend(self._handle_message(words[0], Fields.parse(words[1:]), lines))
         raise FieldError("the input ends within a batch")
 
     def _handle_message(self, name: str, fields: Fields, lines: Iterator[str]) -> list[str]:
-        """Handle one message; an endpoint list takes its entries from the lines that follow it."""
+        """Handle one message and return its action lines.
+
+        The entries of an endpoint list are read from the lines that follow the message."""
         if name == ENDPOINT_LIST:
             self._read_list(fields, lines)
             return []
@@ -69,7 +71,7 @@
             self.routers[router_id] = RoutingPolicy(read_settings(fields), fields.integer("random_seed"))
             return []
         if router_id not in self.routers:
-            raise FieldError(f"{router_id} has not been started")
+            raise FieldError(f"router instance {router_id} has not been started")
         if name == STOP_ROUTER:
             del self.routers[router_id]
             return []
@@ -79,32 +81,32 @@
         return [encode_action(router_id, action) for action in actions]
 
     def _read_list(self, fields: Fields, lines: Iterator[str]) -> None:
-        """Read an endpoint list into its slot."""
+        """Read an endpoint list and store it in its slot."""
         count = fields.integer("records")
         entries = tuple(self._read_entry(next(lines, "")) for _ in range(count))
         self.lists[fields.integer("slot")] = entries
 
     @staticmethod
     def _read_entry(line: str) -> events.EndpointEntry:
-        """Return the entry on a line that must be one."""
+        """Return the endpoint list entry on a line; raise FieldError if the line has another type."""
         words = line.split()
         if not words or words[0] != ENDPOINT_ENTRY:
-            raise FieldError("an entry of the list is missing")
+            raise FieldError("the endpoint list is incomplete: expected an entry line")
         return decode_entry(Fields.parse(words[1:]))
 
     def _decode_list_update(self, fields: Fields) -> events.EndpointListUpdate:
-        """Return the event that delivers an endpoint list, or the failure to fetch one."""
+        """Return the event for a new endpoint list or for a failed call to discovery."""
         if fields.text("kind") == DISCOVERY_FAILED:
             return events.EndpointListUpdate(None, is_full=False)
         is_full = fields.choice("kind", IS_FULL_SNAPSHOT)
         slot = fields.integer("slot")
         if slot not in self.lists:
-            raise FieldError(f"slot={slot} has not been declared")
+            raise FieldError(f"slot={slot} contains no endpoint list")
         return events.EndpointListUpdate(self.lists[slot], is_full)
 
 
 class NumberedLines:
-    """Lines of input, with the number of the last one read."""
+    """An iterator over input lines that counts the lines read."""
 
     def __init__(self, source: Iterable[str]) -> None:
         self._source = iter(source)
