--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -11,5 +11,5 @@
 
 @pytest.fixture
 def no_exploration(monkeypatch):
-    """Send no append-prefill the usual path for exploration."""
+    """Disable exploration, which sends a share of append-prefills the usual path."""
     monkeypatch.setattr(append_prefill, "EXPLORATION_SHARE", 0.0)
--- a/tests/routing/test_protocol_rules.py
+++ b/tests/routing/test_protocol_rules.py
@@ -1,4 +1,4 @@
-"""The five rules of the protocol: each test fails if the code of its rule is taken out."""
+"""The five rules of the protocol, each checked by tests that fail if the code for the rule is removed."""
 
 import pytest
 from policy_harness import DECODE_A, DECODE_B, FLEET, MS, PREFILL_A, PREFILL_B, PolicyHarness, S, entry
@@ -18,7 +18,7 @@
     return harness, harness.attempted_endpoints()[0]
 
 
-# --- no request lost
+# --- Each request gets exactly one final answer.
 
 
 def test_deadline_ends_a_request_with_an_open_attempt():
@@ -35,7 +35,7 @@
 def test_deadline_ends_a_request_without_attempts_in_time():
     harness = PolicyHarness(
         fleet=[entry(s.endpoint_id, s.kind, s.cell, started_at=999 * S) for s in FLEET]
-    )  # all in slow start
+    )  # All endpoints are in slow start.
     for endpoint in harness.policy.endpoints.values():
         endpoint.next_slow_start_send = harness.now + 9 * S
     start = harness.now
@@ -88,7 +88,7 @@
     ]
 
 
-# --- no effect twice
+# --- No request takes effect twice.
 
 
 @pytest.mark.parametrize("status", NEVER_RAN)
@@ -160,7 +160,7 @@
     assert harness.attempted_endpoints() == [] and harness.final_answers() == [actions.RejectRequest]
 
 
-# --- draining respected
+# --- A draining or removed endpoint gets no attempt.
 
 
 @pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
@@ -186,18 +186,20 @@
     harness = PolicyHarness()
     harness.submit()
     prefill_endpoint = harness.attempted_endpoints()[0]
-    gone = tuple(entry(s, "decode", c, EndpointStatus.DRAINING) for s, c in ((DECODE_A, 0), (DECODE_B, 1)))
-    harness.handle(events.EndpointListUpdate(gone, is_full=False))
+    draining = tuple(
+        entry(s, "decode", c, EndpointStatus.DRAINING) for s, c in ((DECODE_A, 0), (DECODE_B, 1))
+    )
+    harness.handle(events.EndpointListUpdate(draining, is_full=False))
     harness.end_attempt(AttemptStatus.PREFILLED, prefill_endpoint)
     assert harness.attempted_endpoints() == []
 
 
-# --- no endpoint overloaded in slow start
+# --- No endpoint is overloaded during slow start.
 
 
 @pytest.mark.parametrize("routers", [1, 2, 4])
 def test_endpoint_in_slow_start_stays_within_its_overload_limit(routers):
-    """The attempts at a decode endpoint in slow start stay within its budget, over all routers."""
+    """Check the attempts of all router instances together at a decode endpoint in slow start."""
     harnesses = [PolicyHarness(seed=seed, router_count=routers) for seed in range(routers)]
     sends = []
     for harness in harnesses:
@@ -219,7 +221,7 @@
             harness.end_attempt(
                 AttemptStatus.OK, decode_endpoint, name, 1, after=10 * MS, request_closed=True
             )
-    mean = routers * 10 / 1.3 / 2  # sends a second that another decode endpoint takes here
+    mean = routers * 10 / 1.3 / 2  # attempts per second at the other decode endpoint
     allowed = 2.5 * 0.3 * mean
     worst = max((sum(at <= other < at + S for other in sends) for at in sends), default=0)
     assert sends and worst <= max(routers, allowed)
@@ -234,14 +236,14 @@
     assert len(harness.policy.endpoints[DECODE_A].open_attempts) <= 1
 
 
-# --- no KV state left
+# --- All KV state is released in time.
 
 
 def test_kv_state_without_decode_endpoint_is_released_in_time():
     harness = PolicyHarness(append_prefill=False)
     harness.submit()
     for decode_endpoint in (DECODE_A, DECODE_B):
-        # Available again before the request would be late.
+        # The ejection ends before the request would be late.
         harness.policy.endpoints[decode_endpoint].ejected_until = harness.now + 700 * MS
     harness.end_attempt(AttemptStatus.PREFILLED, harness.attempted_endpoints()[0])
     assert harness.attempted_endpoints() == [] and harness.final_answers() == []
@@ -266,7 +268,7 @@
     assert harness.policy.requests == {}
 
 
-# --- a library that does not break
+# --- Invalid input does no harm, and state stays bounded.
 
 
 def test_events_about_unknown_requests_and_endpoints_have_no_effect(harness):
@@ -326,7 +328,7 @@
     usual = sum(len(sends[endpoint]) for endpoint in (101, 102, 103)) / 3 / 20
     starting = [moment for moment in sends[100] if start + 8 * S <= moment < start + 18 * S]
     worst = max(sum(begin <= moment < begin + S for moment in starting) for begin in starting)
-    assert worst < 0.3 * 2.5 * usual  # what it may be sent even where the others are at their capacity
+    assert worst < 0.3 * 2.5 * usual  # The limit holds even if the other endpoints run at capacity.
     assert len(starting) > 0.05 * usual * 10
 
 
@@ -355,7 +357,7 @@
     harness, decode_endpoint = decoding_request_with_key(DeduplicationScope.ALL, window=2 * S)
     sent_at = harness.now
     assert [send.write_deadline for send in harness.actions_of(actions.StartAttempt)] == [None], (
-        "the first attempt is no retry"
+        "the first attempt has a write deadline"
     )
     harness.end_attempt(AttemptStatus.RESET, decode_endpoint, attempt=1)
     assert [send.write_deadline for send in harness.actions_of(actions.StartAttempt)] == [
--- a/tests/routing/test_request_progress.py
+++ b/tests/routing/test_request_progress.py
@@ -1,4 +1,4 @@
-"""The next step of a request whose attempt ended."""
+"""The next step of a request after one of its attempts has ended."""
 
 import pytest
 from policy_harness import DECODE_A, DECODE_B, PREFILL_A, PREFILL_B, PolicyHarness, entry
@@ -11,15 +11,15 @@
 def test_prefilled_request_without_decode_endpoints_is_rejected_and_released(harness):
     harness.submit()
     prefill_endpoint = harness.attempted_endpoints()[0]
-    gone = tuple(entry(s, "decode", c, EndpointStatus.REMOVED) for s, c in ((DECODE_A, 0), (DECODE_B, 1)))
-    harness.handle(events.EndpointListUpdate(gone, is_full=False))
+    removed = tuple(entry(s, "decode", c, EndpointStatus.REMOVED) for s, c in ((DECODE_A, 0), (DECODE_B, 1)))
+    harness.handle(events.EndpointListUpdate(removed, is_full=False))
     harness.end_attempt(AttemptStatus.PREFILLED, prefill_endpoint)
     assert harness.final_answers() == [actions.RejectRequest] and harness.actions_of(actions.Release) == [
         actions.Release("r")
     ]
 
 
-def test_missing_kv_state_is_prefilled_anew(harness):
+def test_request_with_missing_kv_state_is_prefilled_again(harness):
     harness.submit()
     prefill_endpoint = harness.attempted_endpoints()[0]
     harness.end_attempt(AttemptStatus.PREFILLED, prefill_endpoint)
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations at decode endpoints during the prefill."""
+"""Reservations that the policy requests at decode endpoints while a prefill runs."""
 
 from policy_harness import DECODE_A, MS, PolicyHarness
 
@@ -16,7 +16,8 @@
     harness, prefill_endpoint, decode_endpoint = submit_with_reservation()
     harness.handle(events.ReservationResult("r", 0, prefill_endpoint, reserved=True))
     assert harness.actions_of(actions.Reserve) == []
-    harness.policy.endpoints[decode_endpoint].committed_tokens = 10**6  # our estimate no longer counts
+    # The reservation takes precedence over the load estimate.
+    harness.policy.endpoints[decode_endpoint].committed_tokens = 10**6
     harness.end_attempt(AttemptStatus.PREFILLED, prefill_endpoint)
     assert harness.attempted_endpoints() == [decode_endpoint]
 
@@ -44,7 +45,7 @@
     assert harness.actions_of(actions.Reserve) == []
 
 
-def test_unrequested_reservations_and_reports_have_no_effect(harness):
+def test_unrequested_reservation_results_load_reports_and_gossip_have_no_effect(harness):
     harness.submit()
     before = harness.policy.requests["r"].open_attempts
     for event in (
--- a/tests/routing/test_session_affinity.py
+++ b/tests/routing/test_session_affinity.py
@@ -1,4 +1,4 @@
-"""Session affinity to the endpoints that served a session last."""
+"""Session affinity: a later turn goes to the endpoints that served its session last."""
 
 import pytest
 from policy_harness import (
--- a/tests/routing/test_silence_detection.py
+++ b/tests/routing/test_silence_detection.py
@@ -1,4 +1,4 @@
-"""Silence: attempts without a response are cancelled, and their endpoints ejected."""
+"""Detection of endpoints that hang: unanswered attempts are cancelled, and the endpoints ejected."""
 
 from policy_harness import (
     DECODE_A,
@@ -22,7 +22,7 @@
     harness.run_timers(harness.now + 2 * S)
     assert harness.actions_of(actions.CancelAttempt) == [actions.CancelAttempt("home", 0)]
     harness.end_attempt(AttemptStatus.CANCELLED, prefill_endpoint, "home")
-    assert harness.final_answers() == [actions.RejectRequest]  # its deadline is close: there is no retry
+    assert harness.final_answers() == [actions.RejectRequest]  # The deadline is too close for a retry.
 
 
 def test_attempt_at_silent_prefill_endpoint_is_retried_while_time_remains():
@@ -35,7 +35,7 @@
 
 
 def harness_with_lost_attempt(idempotency):
-    """Return a harness at whose decode endpoint one request is lost, and a later one is answered."""
+    """Return a harness whose decode endpoint has answered a later attempt but not an earlier one."""
     fleet = entry(PREFILL_A, "prefill"), entry(DECODE_A, "decode")
     harness = PolicyHarness(fleet=fleet, idempotency=idempotency, append_prefill=False)
     for request, after in (("lost", 0), ("later", 600 * MS)):
@@ -49,7 +49,7 @@
 def test_attempt_lost_at_decode_endpoint_delays_no_other_request():
     harness = harness_with_lost_attempt(Idempotency.NONE)
     harness.run_timers(harness.now + 3 * S)
-    assert harness.actions_of(actions.CancelAttempt) == [], "what may have run is left to wait"
+    assert harness.actions_of(actions.CancelAttempt) == [], "an attempt that may have run was cancelled"
     harness.submit("next", session="n")
     assert harness.final_answers() == [] and harness.attempted_endpoints() == [PREFILL_A]
 
@@ -69,7 +69,7 @@
     assert harness.actions_of(actions.CancelAttempt) == []
 
 
-def test_silence_ejects_no_more_than_half_of_a_role():
+def test_at_most_half_of_the_endpoints_of_a_role_are_ejected_for_silence():
     harness = PolicyHarness(fleet=FOUR_PREFILL_FLEET)
     for number in range(40):
         harness.submit(f"r{number}", prefix=f"p{number}")
--- a/tests/routing/test_tracked_request.py
+++ b/tests/routing/test_tracked_request.py
@@ -1,4 +1,4 @@
-"""The life cycles of requests and attempts."""
+"""The phases of requests and attempts, and the transitions between them."""
 
 import pytest
 
--- a/tests/simulator/test_simulator_codecs.py
+++ b/tests/simulator/test_simulator_codecs.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol on hand-written batches."""
+"""The simulator's line protocol: decoding, encoding, and the replies to complete batches."""
 
 import io
 import subprocess
@@ -35,8 +35,8 @@
 )
 
 
-def batch(events, clock=1000):
-    return f"begin_batch clock={clock}\n{events}eof_batch\n"
+def batch(messages, clock=1000):
+    return f"begin_batch clock={clock}\n{messages}eof_batch\n"
 
 
 def answer(*batches):
@@ -49,13 +49,15 @@
     assert answer(batch("")) == "ok\n"
 
 
-def test_a_request_goes_through_prefill_and_decode():
+def test_a_request_is_sent_for_prefill_and_then_for_decode():
     prefilled = (
         "report_back router_id=router-1 req=rq_a ending=handover info=0 wait_time=90 engine=7 attempt=0\n"
     )
-    first = "headers router_id=router-1 req=rq_a attempt=1 engine=8 wait_time=50\n"
+    first_token = "headers router_id=router-1 req=rq_a attempt=1 engine=8 wait_time=50\n"
     done = "report_back closed=1 req=rq_a ending=done router_id=router-1 wait_time=90 engine=8 attempt=1\n"
-    replies = answer(batch(START + REQUEST), batch(prefilled, 2000), batch(first, 3000), batch(done, 4000))
+    replies = answer(
+        batch(START + REQUEST), batch(prefilled, 2000), batch(first_token, 3000), batch(done, 4000)
+    )
     assert "pass_on router_id=router-1 req=rq_a within=0 engine=7" in replies
     assert "pass_on router_id=router-1 req=rq_a within=0 engine=8" in replies
     assert replies.count("ok\n") == 4
@@ -66,20 +68,20 @@
     assert answer(batch(START + REQUEST)) == answer(batch(START + " ".join([head, *reversed(fields)]) + "\n"))
 
 
-def test_a_list_slot_that_is_reused_within_a_batch_counts_in_order():
+def test_a_reused_list_slot_has_the_latest_list_for_each_router():
     second = START.replace("router-1", "router-2").replace("engine=7", "engine=17")
     replies = answer(batch(START + second + REQUEST + REQUEST.replace("router-1", "router-2")))
     assert "router-1 req=rq_a within=0 engine=7" in replies
     assert "router-2 req=rq_a within=0 engine=17" in replies
 
 
-def test_a_restart_within_a_batch_forgets_everything():
-    fresh = answer(batch(START + REQUEST))
+def test_a_router_restarted_within_a_batch_has_no_earlier_state():
+    reply = answer(batch(START + REQUEST))
     restarted = answer(batch(START + REQUEST + "destroy router_id=router-1\n" + START + REQUEST))
-    assert "req=rq_a" in fresh and restarted == fresh.removesuffix("ok\n") + fresh
+    assert "req=rq_a" in reply and restarted == reply.removesuffix("ok\n") + reply
 
 
-def test_absent_settings_have_their_defaults():
+def test_missing_settings_have_their_defaults():
     settings = read_settings(Fields.parse(SETTINGS.split()))
     assert settings.classes == (
         ClassSettings(
@@ -164,7 +166,7 @@
         ("begin_batch clock=5\n", 1, "ends"),
     ],
 )
-def test_a_malformed_line_is_named_in_one_line(text, line, word):
+def test_an_error_about_a_malformed_line_names_its_number_in_one_line(text, line, word):
     command = [sys.executable, "-m", "llm_router.simulator"]
     run = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
     assert run.returncode != 0 and run.stdout == ""
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -1,4 +1,4 @@
-"""A routing policy over a small fleet, with short names for the events that it handles."""
+"""A test harness for the routing policy with a small fleet and helpers that send events."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class PolicyHarness:
-    """A routing policy with its clock, and the actions of the last event."""
+    """A routing policy with a simulated clock, and the actions that its last event returned."""
 
     def __init__(self, fleet=FLEET, seed=1, **changes):
         self.policy = RoutingPolicy(settings(**changes), seed)
@@ -86,7 +86,7 @@
         return self.handle(events.FirstToken(request, attempt, endpoint, after), after)
 
     def serve(self, request="r", **fields):
-        """Run a request through prefill and decode to its end and return the decode endpoint."""
+        """Complete a request with a prefill and a decode attempt, and return its decode endpoint."""
         self.submit(request, **fields)
         self.end_attempt(AttemptStatus.PREFILLED, self.attempted_endpoints()[0], request)
         decode_endpoint = self.attempted_endpoints()[0]
@@ -103,7 +103,7 @@
             self.end_attempt(AttemptStatus.CANCELLED, endpoint_id, request, attempt.index, after=0)
 
     def run_timers(self, until):
-        """Let time pass, fire the timers that expire in their order, and return all actions."""
+        """Advance the clock, fire the expired timers in order of time, and return all actions."""
         seen = []
         while expired := [timer for timer in self.timers if timer[0] <= until]:
             timer = min(expired)
@@ -128,13 +128,13 @@
 
 
 def harness_with_affinity(**changes):
-    """Return a harness that served a turn of session "s", and the decode endpoint that it was served by."""
+    """Return a harness that has served a turn of session "s", and the decode endpoint of that turn."""
     harness = PolicyHarness(**changes)
     return harness, harness.serve("r1", **LATER_TURN)
 
 
 def set_queueing_delay(harness, endpoint_ids, delay):
-    """Let some endpoints have shown a queueing delay just now."""
+    """Set the queueing delay of endpoints, as if it had been recorded at the current time."""
     for endpoint_id in endpoint_ids:
         endpoint = harness.policy.endpoints[endpoint_id]
         endpoint.queueing_delay = delay
@@ -150,7 +150,7 @@
 
 
 def harness_with_denied_reservations(**changes):
-    """Return a harness that requested many reservations recently, all of them denied."""
+    """Return a harness whose many recent reservation requests were all denied."""
     fleet = (*FLEET[:2], *(entry(200 + n, "decode") for n in range(4)))
     harness = PolicyHarness(reservations=True, fleet=fleet, **changes)
     for number in range(40):
@@ -160,7 +160,7 @@
         while harness.actions_of(actions.Reserve):
             harness.handle(events.ReservationResult(f"r{number}", 0, attempted[0], reserved=False))
         harness.disconnect(f"r{number}")
-    raise AssertionError("nothing was rejected")
+    raise AssertionError("every request was sent although all reservations were denied")
 
 
 def submit_to_home(harness, request="home"):
--- a/tests/test_malformed_settings.py
+++ b/tests/test_malformed_settings.py
@@ -1,4 +1,4 @@
-"""A malformed or missing setting gets its default or is named in one error; nothing else comes of it."""
+"""A malformed or missing setting is accepted or leads to a one-line configuration error, not to a crash."""
 
 import copy
 
@@ -39,7 +39,7 @@
 
 
 def paths(value, path=()):
-    """Yield the path of each key below a value."""
+    """Yield the path of each key and index in a nested value."""
     if path:
         yield path
     if isinstance(value, dict | list):
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("path", list(paths(CONFIGURATION)), ids=lambda path: ".".join(map(str, path)))
-def test_a_malformed_value_is_accepted_or_named_in_an_error(path):
+def test_a_malformed_value_is_accepted_or_gives_a_one_line_error(path):
     for malformed in MALFORMED:
         values = copy.deepcopy(CONFIGURATION)
         *parent_path, key = path
