--- a/llm_router/routing/actions.py
+++ b/llm_router/routing/actions.py
@@ -54,9 +54,8 @@
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
     # No endpoint for prefill, or none for decode, accepts new requests soon enough for this one.
     NO_ENDPOINT_IN_TIME = "no_endpoint_in_time"
-    QUEUEING_DELAY = (
-        "queueing_delay"  # The expected wait in the endpoints' queues would make the request late.
-    )
+    # The expected wait in the endpoints' queues would make the request late.
+    QUEUEING_DELAY = "queueing_delay"
 
 
 @dataclass(slots=True, frozen=True)
--- a/llm_router/simulator/event_codec.py
+++ b/llm_router/simulator/event_codec.py
@@ -33,9 +33,7 @@
 CACHED_TOKENS_IN_INFO = (AttemptStatus.OK, AttemptStatus.PREFILLED)
 CONNECTION_FAULT_IN_INFO = (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
 CONNECTION_FAULTS = {1: ConnectionFault.STALE, 2: ConnectionFault.LOCAL}
-STATE_MISSING_INFO = (
-    1  # value of `info` with which an overloaded endpoint reports that the KV state is missing
-)
+STATE_MISSING_INFO = 1  # value of `info` if an overloaded endpoint does not have the KV state
 EMPTY_MESSAGE = "-"  # stands for a gossip message without content
 
 
--- a/tests/routing/test_protocol_rules.py
+++ b/tests/routing/test_protocol_rules.py
@@ -33,9 +33,8 @@
 
 
 def test_deadline_ends_a_request_without_attempts_in_time():
-    harness = PolicyHarness(
-        fleet=[entry(s.endpoint_id, s.kind, s.cell, started_at=999 * S) for s in FLEET]
-    )  # All endpoints are in slow start.
+    # All endpoints are in slow start.
+    harness = PolicyHarness(fleet=[entry(s.endpoint_id, s.kind, s.cell, started_at=999 * S) for s in FLEET])
     for endpoint in harness.policy.endpoints.values():
         endpoint.next_slow_start_send = harness.now + 9 * S
     start = harness.now
