--- a/llm_router/routing/slow_start.py
+++ b/llm_router/routing/slow_start.py
@@ -7,7 +7,8 @@
 from llm_router.routing.send_rates import SendRates
 from llm_router.routing.statistics import RECENT_SPAN
 
-# The router instances together use this share of the rate that an endpoint in slow start can withstand.
+# Share of the rate that an endpoint in slow start can withstand, used by all router instances together.
+# The rest of the rate is a safety margin.
 SAFETY_FACTOR = 0.4
 
 
