--- a/llm_router/transport/frontend_protocol.py
+++ b/llm_router/transport/frontend_protocol.py
@@ -75,18 +75,19 @@
     """A sink that relays a stream of events."""
 
     def reset(self) -> None:
-        """Prepare for the stream of an attempt, and discard the state of an earlier attempt."""
+        """Prepare for a new attempt's stream by discarding the data of the previous one."""
 
     def feed(self, data: bytes) -> bytes:
-        """Accept a piece of the stream, and return the complete events that can be sent now.
+        """Add a piece of the stream and return the events that it completes.
 
         Raise ValueError if the stream is malformed."""
 
     def flush(self, framed: bool) -> bytes:
-        """Return the remaining data at the end of the stream.
+        """Return the last event at the stream's end, even if no empty line follows it.
 
-        `framed` tells whether HTTP framing would reveal a truncated stream. Raise ValueError if the stream is
-        malformed, ConnectionError if it may be truncated."""
+        `framed` tells whether HTTP framing would reveal a truncated stream. Raise ValueError if the event is
+        malformed. Raise ConnectionError if the stream is not `framed`, because a truncated stream could not
+        be distinguished from a complete one."""
 
 
 class BufferedSink(ResponseSink, Protocol):
@@ -120,4 +121,6 @@
         """Tell the client that its request was rejected and had no effect."""
 
     def fail(self, id_conflict: bool) -> None:
-        """Tell the client that its request failed; `id_conflict` means that its id is already in use."""
+        """Tell the client that its request failed.
+
+        `id_conflict` means that a request with this id is running or may have run."""
