--- a/llm_router/emulator/oracle/drain_check.py
+++ b/llm_router/emulator/oracle/drain_check.py
@@ -17,9 +17,8 @@
         self._clock = clock
         self._violations = violations
         self._announced_at: dict[str, float] = {}  # times of announced drains, keyed by endpoint
-        self._delivered_at: dict[
-            tuple[str, str], float
-        ] = {}  # times of deliveries, keyed by router and endpoint
+        # Times at which drains were delivered, keyed by router and endpoint.
+        self._delivered_at: dict[tuple[str, str], float] = {}
 
     def drain_announced(self, endpoint: str) -> None:
         """Record that the endpoint list in discovery now shows an endpoint as draining."""
--- a/llm_router/emulator/soak/endpoint_faults.py
+++ b/llm_router/emulator/soak/endpoint_faults.py
@@ -27,8 +27,9 @@
     EndpointBehaviour.MUTE,
     EndpointBehaviour.TRUNCATING,
 )
-# A loss of responses lasts this many times as long as other faults, so up to 7.5 s. Release calls must be
-# retried for all this time, because a release that ends unacknowledged leaves resources leased.
+# A loss of responses lasts this many times as long as other faults, so up to 7.5 s.
+# The router must retry release calls for all this time.
+# A release that ends unacknowledged leaves resources leased.
 LOST_RESPONSES_FACTOR = 3.0
 RESET_SHARE = 0.5  # probability that the endpoint's connections are reset at the end of a partition
 
--- a/llm_router/emulator/soak/scenario.py
+++ b/llm_router/emulator/soak/scenario.py
@@ -10,11 +10,12 @@
 
 SECOND = 1_000_000_000  # nanoseconds
 CLASSES = {"lookup": Idempotency.SAFE, "booking": Idempotency.NONE}
-# Latency objectives in seconds; each soak uses one of them. The policy detects an unresponsive endpoint after
-# several times the latency objective.
+# Latency objectives in seconds; each soak uses one of them.
+# The policy detects an unresponsive endpoint after several times the latency objective.
 LATENCY_OBJECTIVES = (0.3, 1.5)
-# Deadline in seconds. It is long so that a request can wait for many seconds while its release calls are
-# retried. A router that stops the retries too early leaves KV state and reservations leased.
+# Deadline of requests in seconds.
+# It is long so that a request can wait for many seconds while the router retries the release calls.
+# A router that stops these retries too early leaves KV state and reservations leased.
 DEADLINE = 9.0
 RELEASE_TIMEOUT = 0.3  # seconds
 DRAIN_GRACE = 1.0  # seconds
--- a/llm_router/lifecycle/attempt.py
+++ b/llm_router/lifecycle/attempt.py
@@ -86,9 +86,8 @@
     endpoint: Endpoint | None = None  # None if the endpoint was not listed
     state: AttemptState = AttemptState.CONNECTING
     arrival: Arrival = Arrival.UNKNOWN
-    abort_status: AttemptStatus | None = (
-        None  # the status of an aborted attempt once its connection is closed
-    )
+    # The status that an aborted attempt gets once its connection is closed; None if it is not aborted.
+    abort_status: AttemptStatus | None = None
     status: AttemptStatus | None = None  # the status of an attempt that has ended
 
     @property
--- a/llm_router/lifecycle/attempt_events.py
+++ b/llm_router/lifecycle/attempt_events.py
@@ -18,8 +18,8 @@
 from llm_router.routing import events as routing_events
 from llm_router.routing.events import AttemptStatus, ConnectionFault
 
-# Whether the final status of an attempt shows that its endpoint answers requests. The statuses that are not
-# listed show neither.
+# Whether the final status of an attempt shows that its endpoint answers requests.
+# A status that is not listed shows neither that the endpoint answers nor that it does not.
 ENDPOINT_ANSWERED = {
     AttemptStatus.OK: True,
     AttemptStatus.PREFILLED: True,
@@ -30,8 +30,8 @@
     AttemptStatus.TIMEOUT: False,
 }
 ABORTED = frozenset({AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT})
-# An aborted attempt without an answer suggests a network partition only if it ran for this long, which is
-# several round trips.
+# An aborted attempt without an answer suggests a network partition only if it ran for at least this time.
+# The time is several round trips.
 MIN_UNANSWERED_TIME = timedelta(milliseconds=120)
 # Only an attempt that was written ends with one of these statuses.
 STATUSES_AFTER_WRITE = frozenset(
--- a/llm_router/lifecycle/kv_lease.py
+++ b/llm_router/lifecycle/kv_lease.py
@@ -27,8 +27,8 @@
 # A prefill may continue at its endpoint for this long after its connection was reset.
 MAX_PREFILL_TIME_AFTER_RESET = timedelta(seconds=3)
 
-# After an attempt ends with one of these statuses, its prefill may still complete at the endpoint and leave
-# KV state there. The value is how long after the end this can happen.
+# A prefill that ended with one of these statuses may still complete at its endpoint and leave KV state there.
+# Each value is the maximum time from the end of the attempt to the completion of the prefill.
 LATE_PREFILL_WINDOWS = {
     AttemptStatus.ERROR: MAX_CLOSE_DELAY,
     AttemptStatus.TIMEOUT: MAX_CLOSE_DELAY,
--- a/llm_router/lifecycle/release_calls.py
+++ b/llm_router/lifecycle/release_calls.py
@@ -21,8 +21,8 @@
 STALLED_ROUND_INTERVAL = timedelta(milliseconds=500)
 # Maximum number of calls in one round that replace failed calls.
 MAX_REPLACEMENT_CALLS = 8
-# A release ends after this time. It is longer than a network partition, and endpoints free the remaining KV
-# state and reservations on their own by then.
+# A release ends after this time, which is longer than a network partition.
+# By then, the endpoints free the remaining KV state and reservations on their own.
 MAX_DURATION = timedelta(seconds=60)
 
 
@@ -43,13 +43,11 @@
     started_at: timedelta
     next_round_at: timedelta
     rounds: int = 0
-    remaining: deque[Endpoint] = field(
-        default_factory=deque
-    )  # endpoints not yet called in this pass over all
+    # The endpoints that have not been called in the current pass over all endpoints.
+    remaining: deque[Endpoint] = field(default_factory=deque)
     running: dict[int, ReleaseCall] = field(default_factory=dict)  # running calls by call number
-    replacement_calls_left: int = (
-        MAX_REPLACEMENT_CALLS  # calls that may still replace a failed call in this round
-    )
+    # The number of calls that may still replace failed calls in the current round.
+    replacement_calls_left: int = MAX_REPLACEMENT_CALLS
 
     @classmethod
     def starting_at(cls, now: timedelta) -> ReleaseCalls:
--- a/llm_router/lifecycle/release_order.py
+++ b/llm_router/lifecycle/release_order.py
@@ -13,8 +13,8 @@
 from llm_router.lifecycle.request import Request
 from llm_router.lifecycle.state import RouterState
 
-# Maximum number of endpoints that one pass of a release calls, taken evenly from a large fleet. Endpoints to
-# which attempts or reservation calls of the request went are called in addition.
+# Maximum number of endpoints that one pass of a release calls, taken evenly from a large fleet.
+# The release also calls the endpoints that received attempts or reservation calls of the request.
 MAX_ENDPOINTS = 64
 
 
--- a/llm_router/lifecycle/release_schedule.py
+++ b/llm_router/lifecycle/release_schedule.py
@@ -11,14 +11,15 @@
 # The part of the release time that is kept for the release calls themselves.
 RELEASE_MARGIN = 50 * MILLISECOND
 
-# The protocol allows 300 ms beyond the release time. The waits below use part of it if the release time is
-# too short for them.
+# The protocol allows 300 ms beyond the release time.
+# The waits below use part of these 300 ms if the release time is too short for them.
+
 # Minimum time for a decode attempt to claim KV state.
 MIN_CLAIM_TIME = 100 * MILLISECOND
 # Minimum time between two releases while KV state or reservations may still appear.
 MIN_RELEASE_INTERVAL = 100 * MILLISECOND
-# Time between two releases while KV state or reservations may still appear, if the settings give no release
-# time.
+# Time between two releases while KV state or reservations may still appear.
+# This default is used if the settings give no release time.
 DEFAULT_RELEASE_INTERVAL = 500 * MILLISECOND
 # A running prefill of unconfirmed arrival delays a release for at most this long after the release time.
 UNCONFIRMED_PREFILL_TIME = 100 * MILLISECOND
--- a/llm_router/lifecycle/reservation_events.py
+++ b/llm_router/lifecycle/reservation_events.py
@@ -16,8 +16,8 @@
 from llm_router.lifecycle.state import RouterState
 from llm_router.routing import events as routing_events
 
-# After a decode endpoint has answered for the second time that it does not know a prefill, the prefill counts
-# as missing unless its own answer comes within this time.
+# Time limit for the answer of a prefill that a decode endpoint has twice reported as unknown.
+# If the answer does not come within this time, the prefill counts as missing.
 ARRIVAL_GRACE = timedelta(milliseconds=20)
 # Whether a reservation was made, for the outcomes that show it. The policy gets only these outcomes.
 RESERVATION_MADE = {
--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -37,8 +37,8 @@
 class StartTimes:
     """The start times of the listed endpoints, and of endpoints that were removed a short time ago."""
 
-    # The maximum delay of an endpoint list. A new start may have happened up to this long before the last
-    # answer of discovery.
+    # The maximum delay of an endpoint list.
+    # An endpoint may have started up to this long before the last answer of discovery.
     max_list_delay: timedelta = timedelta()
     listed: dict[str, StartTime] = field(default_factory=dict)
     removed: dict[str, RemovedStartTime] = field(default_factory=dict)  # by name, oldest removal first
--- a/llm_router/lifecycle/state.py
+++ b/llm_router/lifecycle/state.py
@@ -16,8 +16,8 @@
 from llm_router.routing.settings import Settings
 
 MAX_LIST_DELAY = timedelta(seconds=4)  # maximum delay with which an endpoint list arrives
-# The assumed delay of a list is at most the slow start window divided by this number. With a longer delay, a
-# wrong clock could make a new endpoint look as if its slow start had ended.
+# The assumed delay of an endpoint list is at most the slow start window divided by this number.
+# With a longer delay, a wrong clock could make a new endpoint look as if its slow start had ended.
 SLOW_START_DIVISOR = 3
 
 
--- a/llm_router/transport/acknowledgement.py
+++ b/llm_router/transport/acknowledgement.py
@@ -13,8 +13,8 @@
 
 from llm_router.transport.clock import to_seconds
 
-# Time after which unacknowledged bytes are reported: several round trips, and longer than a delayed TCP
-# acknowledgement takes.
+# Time after which unacknowledged bytes are reported.
+# It covers several round trips and is longer than a delayed TCP acknowledgement takes.
 ACKNOWLEDGEMENT_TIMEOUT = timedelta(milliseconds=120)
 UNSENT_BYTES = struct.Struct("i")
 LINGER_ZERO = struct.pack("ii", 1, 0)  # a struct linger with which a close resets the connection
--- a/llm_router/transport/attempt_executor.py
+++ b/llm_router/transport/attempt_executor.py
@@ -28,11 +28,12 @@
 from llm_router.transport.response_relay import ResponseRelay, log_malformed_response
 
 MAX_SHORT_BODY_SIZE = 64 * 1024  # maximum bytes in the body of a response that is not relayed
-# Time limit for reading the body of a response that is not relayed. It is short because the head already says
-# whether the endpoint holds KV state, whose release time runs while the router reads.
+# Time limit for reading the body of a response that is not relayed.
+# It is short because the release time of KV state runs while the router reads.
+# The head of the response already says whether the endpoint holds KV state.
 SHORT_BODY_TIMEOUT = timedelta(milliseconds=100)
-# If an attempt without a response is cancelled after this time, the idle connections to its endpoint are
-# closed, because they may be half-open.
+# Time after which the cancellation of an attempt without a response closes idle connections to its endpoint.
+# These connections may be half-open.
 SILENCE_THRESHOLD = timedelta(milliseconds=500)
 SEND_ERRORS = (aiohttp.ClientError, OSError, TimeoutError)
 
@@ -150,8 +151,9 @@
         status = AttemptStatus.RESET if written else AttemptStatus.CONNECT_FAILED
         if isinstance(error, StaleConnectionError):
             return events.AttemptEnded(*key, status, connection_fault=ConnectionFault.STALE)
-        # An unreachable host does not close its connections. The next request on an idle, half-open
-        # connection would wait for a lost response again; a new connection fails at the connect timeout.
+        # An unreachable host does not close its connections, so idle connections to it are half-open.
+        # A request on a half-open connection waits for a response that is lost.
+        # A request on a new connection fails at the connect timeout.
         self._pool.connector.drop_idle(effect.endpoint.address)
         return events.AttemptEnded(*key, status)
 
--- a/llm_router/transport/client_connection.py
+++ b/llm_router/transport/client_connection.py
@@ -23,8 +23,8 @@
 
 # Time limit for a client to read the last response and to close its side of the connection.
 LINGER_TIMEOUT = timedelta(seconds=5)
-# Bytes received within this number of input polls after the connection was set up are assumed to have
-# arrived together with the connection.
+# Number of input polls after the connection setup.
+# Bytes received in these polls are assumed to have arrived together with the connection.
 FIRST_INPUT_SELECTS = 2
 
 
--- a/llm_router/transport/discovery.py
+++ b/llm_router/transport/discovery.py
@@ -18,14 +18,14 @@
 from llm_router.transport.pool import ConnectionPool, UpstreamCall
 
 WATCH_TIMEOUT = timedelta(seconds=2.5)  # maximum time for which discovery may hold a watch call open
-# Time limit of a call, from connecting to the end of the response. It is short because discovery answers at
-# once. A watch call gets WATCH_TIMEOUT in addition.
+# Time limit of a call, from connecting to the end of the response.
+# It is short because discovery answers at once; a watch call gets WATCH_TIMEOUT in addition.
 CALL_TIMEOUT = timedelta(seconds=1.2)
 RETRY_DELAY = timedelta(milliseconds=60)  # delay after a failed call; the next call must start within 200 ms
 # Minimum delay before a further call for a full snapshot is started, because the previous one may hang.
 MIN_HEDGE_DELAY = timedelta(milliseconds=300)
-# Hedge delay as a multiple of the duration of the last full snapshot, so that a slow, overloaded discovery
-# does not get more calls.
+# Hedge delay as a multiple of the duration of the last call for a full snapshot.
+# The delay grows with this duration so that a slow, overloaded discovery does not get more calls.
 HEDGE_MULTIPLE = 2
 MAX_LIST_CALLS = 3  # maximum number of concurrent calls for a full snapshot
 LIST_PATH = "/registry/instances"
--- a/llm_router/transport/frontend_server.py
+++ b/llm_router/transport/frontend_server.py
@@ -72,8 +72,8 @@
         """Begin to accept clients; raise OSError if the address cannot be used."""
         listener = await open_listener(*self._listen_address, BACKLOG)
         self.http_server.listener = listener
-        # Small batches give evicted connections time to close before the next ones are accepted. Otherwise a
-        # flood of connections could use up all descriptors.
+        # Small batches give evicted connections time to close before the next ones are accepted.
+        # With large batches, a flood of connections could use up all descriptors.
         self.acceptor = Acceptor(listener, self.http_server, ACCEPT_BATCH_SIZE)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/llm_router/transport/http_server.py
+++ b/llm_router/transport/http_server.py
@@ -24,8 +24,8 @@
 from llm_router.transport.listener import Listener
 from llm_router.transport.rejected_connection import RejectedConnection, RejectedConnections
 
-# Client connections are closed after this time without a complete request head. Clients expect a response or
-# a close within 3 s.
+# Client connections are closed after this time without a complete request head.
+# Clients expect a response or a close within 3 s.
 KEEPALIVE_TIMEOUT = timedelta(seconds=2.2)
 # The first request head of a connection younger than this may still be in transit.
 NEW_CONNECTION_AGE = timedelta(seconds=0.3)
--- a/llm_router/transport/idle_connection_policy.py
+++ b/llm_router/transport/idle_connection_policy.py
@@ -10,8 +10,8 @@
 
 STALE_THRESHOLD = 2  # number of stale connections within STALE_WINDOW that suspends the reuse
 STALE_WINDOW = timedelta(seconds=5)
-# Duration of the first suspension. If the reuse is suspended again sooner after a suspension than that
-# suspension lasted, the duration doubles.
+# Duration of the first suspension of the reuse.
+# A suspension lasts twice as long as the previous one if the time between the two is shorter than that one.
 INITIAL_BACKOFF = timedelta(seconds=10)
 MAX_BACKOFF = timedelta(seconds=80)  # maximum duration of a suspension
 
--- a/llm_router/transport/pool.py
+++ b/llm_router/transport/pool.py
@@ -24,8 +24,8 @@
 DISCOVERY_SOCKETS = 4
 # Number of endpoint sockets reserved for release calls, so that attempts cannot use all sockets.
 RELEASE_SOCKETS = 4
-# Share of the endpoints' idle timeout after which the router closes an idle connection. If it were 1, a
-# request could be sent on a connection that the endpoint is just closing.
+# Share of the endpoints' idle timeout after which the router closes an idle connection.
+# With a share of 1, a request could be sent on a connection that the endpoint is just closing.
 IDLE_TIMEOUT_SHARE = 0.5
 CALL_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
@@ -60,8 +60,8 @@
 
     def __init__(self, config: RouterConfig, max_sockets: int, release_sockets: int = 0) -> None:
         self.socket_budget = SocketBudget(max_sockets, release_sockets, self._drop_all_idle)
-        # The socket budget replaces aiohttp's limit of 100 connections, above which attempts would be queued
-        # inside aiohttp.
+        # The socket budget replaces aiohttp's limit of 100 connections.
+        # Above that limit, attempts would be queued inside aiohttp.
         self.connector = UpstreamConnector(
             limit=0,
             keepalive_timeout=to_seconds(config.idle_timeout * IDLE_TIMEOUT_SHARE),
@@ -69,8 +69,8 @@
             happy_eyeballs_delay=None,
             socket_factory=self.socket_budget.open,
         )
-        # aiohttp's total timeout of five minutes is off because it would truncate long streams. Bodies are
-        # not decompressed, because they are relayed unchanged.
+        # aiohttp's total timeout of five minutes is off because it would truncate long streams.
+        # Bodies are not decompressed, because they are relayed unchanged.
         self.session = aiohttp.ClientSession(
             connector=self.connector,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=to_seconds(config.connect_timeout)),
--- a/llm_router/transport/reservation_client.py
+++ b/llm_router/transport/reservation_client.py
@@ -15,8 +15,8 @@
 from llm_router.transport.running_attempts import RunningAttempt
 
 RESERVATION_TIMEOUT = timedelta(seconds=1)  # time limit of one reservation call
-# Outcomes by the HTTP status of the response, None if there is none. After any other status the outcome is
-# UNKNOWN, and a reservation may exist.
+# Outcomes by the HTTP status of the response; the status is None if there was no response.
+# After any other status the outcome is UNKNOWN, and a reservation may exist.
 RESERVATION_OUTCOMES = {
     200: ReservationOutcome.RESERVED,
     409: ReservationOutcome.REJECTED,
--- a/llm_router/transport/resource_limits.py
+++ b/llm_router/transport/resource_limits.py
@@ -13,8 +13,8 @@
 
 from llm_router.transport.resilient_socket import ResilientSocket, SocketLimitError
 
-# Whether the current task may use a socket that is reserved for release calls. It is a context variable
-# because aiohttp's connector opens the socket and does not know which call needs it.
+# Whether the current task may use a socket that is reserved for release calls.
+# It is a context variable because aiohttp's connector opens the socket and does not know which call needs it.
 may_use_release_sockets: ContextVar[bool] = ContextVar("may_use_release_sockets", default=False)
 
 
--- a/llm_router/transport/signals.py
+++ b/llm_router/transport/signals.py
@@ -17,6 +17,6 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
-    # The loop removes handlers of loop.add_signal_handler() when it closes, and SIGHUP would then end the
-    # process.
+    # loop.add_signal_handler() is not used for SIGHUP, because the loop removes such handlers when it closes.
+    # Without a handler, SIGHUP would end the process.
     signal.signal(signal.SIGHUP, lambda _number, _frame: loop.call_soon_threadsafe(reload))
--- a/llm_router/transport/write_hook.py
+++ b/llm_router/transport/write_hook.py
@@ -8,12 +8,12 @@
 
 import aiohttp
 
-# A hook that is called with the request's headers, which it may change, and with the transport. If it raises
-# an exception, the request is not written.
+# A hook that is called with the request's headers, which it may change, and with the transport.
+# If the hook raises an exception, the request is not written.
 BeforeWrite = Callable[[MutableMapping[str, str], asyncio.Transport | None], None]
 
-# The hook for the current task's request. It is a context variable because aiohttp creates the request
-# object itself and passes no custom argument to it.
+# The hook for the current task's request.
+# It is a context variable because aiohttp creates the request object and passes no custom argument to it.
 before_write: ContextVar[BeforeWrite | None] = ContextVar("before_write", default=None)
 
 
--- a/tests/frontends/test_platform_shutdown.py
+++ b/tests/frontends/test_platform_shutdown.py
@@ -59,9 +59,8 @@
             assert (await within(read_message(reader)))[0].split()[1] == "503"
             while program.process.returncode is None:  # Send SIGHUP until the process has ended.
                 with suppress(ProcessLookupError):
-                    os.kill(
-                        program.process.pid, signal.SIGHUP
-                    )  # send_signal() would reap the process: status 255.
+                    # os.kill() is used because send_signal() would reap the process, with status 255.
+                    os.kill(program.process.pid, signal.SIGHUP)
                 await asyncio.sleep(0)
                 with suppress(TimeoutError):
                     await asyncio.wait_for(asyncio.shield(program.process.wait()), 0.002)
--- a/tests/lifecycle/test_kv_lease_property.py
+++ b/tests/lifecycle/test_kv_lease_property.py
@@ -120,8 +120,8 @@
     return model
 
 
-# The draws are the same in each run, so that the result does not depend on chance. They are derived from the
-# source of each test function.
+# The draws are the same in each run, so that the result does not depend on chance.
+# They are derived from the source of each test function.
 @settings(
     max_examples=400, derandomize=True, database=None, deadline=None, suppress_health_check=list(HealthCheck)
 )
