--- a/llm_router/emulator/oracle/lease_check.py
+++ b/llm_router/emulator/oracle/lease_check.py
@@ -48,7 +48,7 @@
         return any(each.kind is ResourceKind.KV_STATE for each in self._traffic.requests[request_id].leased)
 
     def router_killed(self, router: str) -> None:
-        """Excuse the leases of a killed router, because endpoints free the resources some seconds later."""
+        """Stop checking the leases of a killed router, because endpoints free them some seconds later."""
         for record in self._traffic.requests.values():
             if record.router == router:
                 record.router_killed = True
--- a/llm_router/emulator/router_process.py
+++ b/llm_router/emulator/router_process.py
@@ -23,7 +23,8 @@
 from llm_router.emulator.http import message, read_message
 from llm_router.emulator.oracle import Oracle, Rule
 
-LISTEN_PORTS = (12_000, 32_000)  # below the ephemeral ports, which the kernel assigns to outgoing connections
+# Range of listening ports. It is below the ephemeral ports, which the kernel assigns to outgoing connections.
+LISTEN_PORTS = (12_000, 32_000)
 START_TIMEOUT = 10.0  # seconds from the start of a router within which it must be ready
 READINESS_INTERVAL = 0.05  # seconds between two readiness probes
 READINESS_TIMEOUT = 1.0  # seconds that one readiness probe may take
@@ -156,7 +157,7 @@
         return is_late or deadline < self.terminated_at + STOP_TIMEOUT
 
     async def kill(self) -> None:
-        """Kill the process with SIGKILL; the oracle excuses its leases, because endpoints free them later."""
+        """Kill the process with SIGKILL; the oracle does not check its leases, which endpoints free later."""
         self.ready = False
         self._stopping = True
         self._oracle.leases.router_killed(self.name)
--- a/llm_router/emulator/soak/router_faults.py
+++ b/llm_router/emulator/soak/router_faults.py
@@ -9,7 +9,8 @@
 from llm_router.emulator.soak.fault import Fault
 from llm_router.emulator.soak.fleet import Fleet
 
-MAX_SUSPENSION = 0.14  # seconds; below the slack of the oracle's checks, so that it alone violates no rule
+# Maximum seconds of a suspension. It is below the slack of the oracle's checks, so it alone violates no rule.
+MAX_SUSPENSION = 0.14
 RELOAD_COUNTS = (1, 1, 2)  # number of reloads in one fault, drawn uniformly from these values
 # A restart stops its router by one of these series of signals, drawn uniformly.
 SIGNAL_SERIES = (
--- a/llm_router/emulator/soak/soak.py
+++ b/llm_router/emulator/soak/soak.py
@@ -18,7 +18,8 @@
 from llm_router.emulator.soak.scenario import DRAIN_GRACE, Customer
 
 MAX_SETTLE_TIME = 12.0  # maximum seconds that open requests and faults get to end after the last new request
-MIN_SETTLE_TIME = 3.0  # minimum seconds of waiting at the end, because cancelled calls may arrive so late
+# Minimum seconds of waiting at the end of a soak, because cancelled calls may arrive that late.
+MIN_SETTLE_TIME = 3.0
 SETTLE_INTERVAL = 0.05  # seconds between two lease checks while requests and faults end
 
 
--- a/llm_router/lifecycle/attempt.py
+++ b/llm_router/lifecycle/attempt.py
@@ -130,7 +130,7 @@
         self.change(AttemptChange.ENDED)
 
     def final_status(self, reported: AttemptStatus) -> AttemptStatus:
-        """Return the final status for a reported one; an aborted attempt gets the status of its abort."""
+        """Return the status to record for a reported one; an aborted attempt gets the status of its abort."""
         if reported is not AttemptStatus.CANCELLED or self.abort_status is None:
             return reported
         if self.abort_status is AttemptStatus.CONNECT_FAILED and self.was_written:
--- a/llm_router/lifecycle/endpoint.py
+++ b/llm_router/lifecycle/endpoint.py
@@ -7,7 +7,7 @@
 
 from llm_router.routing.events import EndpointStatus
 
-NO_START_TIME = timedelta()  # stands for a start time that discovery does not give
+NO_START_TIME = timedelta()  # marks the start time of an endpoint as unknown
 
 
 @dataclass(slots=True, frozen=True)
--- a/llm_router/lifecycle/idempotency_registry.py
+++ b/llm_router/lifecycle/idempotency_registry.py
@@ -26,7 +26,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no other key fits; dropping a key early could let a request run twice."""
+        """Whether the registry is full; dropping a key early to make room could let a request run twice."""
         return len(self.running) + len(self.completed) >= self.capacity
 
     def start(self, key: str) -> None:
--- a/llm_router/lifecycle/invariants.py
+++ b/llm_router/lifecycle/invariants.py
@@ -44,7 +44,9 @@
 
 
 def check_release_planned(state: RouterState, now: timedelta, request: Request) -> Iterator[effects.LogEvent]:
-    """Check that the KV state and reservations of a request are released in time; report a request once.
+    """Check that the KV state and reservations of a request are released in time.
+
+    At most one violation is reported for each request.
 
     An attempt that has reached its endpoint stops the release time. A decode attempt consumes the KV state,
     or a release becomes due when the attempt ends. A release also becomes due when a prefill ends that is
@@ -58,7 +60,7 @@
 
 
 def is_release_planned(now: timedelta, request: Request) -> bool:
-    """Return whether the resources of a request have a release due in time, or need none now."""
+    """Return whether a release of a request's resources is due in time or is not needed now."""
     lease, schedule = request.lease, request.lease.schedule
     if schedule.release_timeout is None or lease.is_finished or lease.claims or schedule.calls is not None:
         return True
--- a/llm_router/lifecycle/kv_lease.py
+++ b/llm_router/lifecycle/kv_lease.py
@@ -14,7 +14,8 @@
 from llm_router.lifecycle.release_schedule import MILLISECOND, ReleaseSchedule
 from llm_router.routing.events import AttemptStatus
 
-# A decode attempt may wait this long for its connection, because connecting over a busy link takes as long.
+# A decode attempt may wait at least this long for its connection, unless a release is due earlier.
+# Connecting over a busy link takes about this time.
 MIN_CONNECT_TIME = 100 * MILLISECOND
 # A release waits this long after an abort, because most connection closes reach their endpoint by then.
 CLOSE_SETTLE_TIME = 15 * MILLISECOND
@@ -53,7 +54,7 @@
     PREFILLED = auto()  # A prefill has completed, and its KV state waits at the endpoint.
     RESOURCE_ORPHANED = auto()  # A call may have left KV state or a reservation that no attempt will claim.
     ABANDONED = auto()  # No attempt will claim the KV state and reservations of the request.
-    PARTLY_RELEASED = auto()  # A release freed the resources older than its start; later ones may exist.
+    PARTLY_RELEASED = auto()  # A release freed the resources from before its start; later ones may exist.
     FULLY_RELEASED = auto()  # A release freed all resources, and no running call can create more.
     EXPIRED = auto()  # No endpoint acknowledged the release calls, and the router stops making them.
 
@@ -150,7 +151,7 @@
             if status is AttemptStatus.RESET:
                 self.prefill_may_run_until = now + MAX_PREFILL_TIME_AFTER_RESET
             if self.state is LeaseState.ORPHANED:
-                # This outcome restarts the release time.
+                # The release time restarts at the end of the prefill.
                 self.schedule.release_at = now + CLOSE_SETTLE_TIME
 
     def decode_ended(
@@ -223,7 +224,7 @@
         self.schedule.start(calls)
 
     def release_acknowledged(self, started_at: timedelta) -> None:
-        """Record that an endpoint acknowledged a release, which freed all resources older than its start."""
+        """Record that an endpoint acknowledged a release, which freed all resources from before its start."""
         self.schedule.calls = None
         if self.state is LeaseState.AVAILABLE:
             self.released_before = max(self.released_before, started_at)
--- a/llm_router/lifecycle/releases.py
+++ b/llm_router/lifecycle/releases.py
@@ -95,7 +95,7 @@
 def record_release_answer(
     state: RouterState, now: timedelta, request: Request, event: events.ReleaseCallEnded
 ) -> Iterator[effects.Effect]:
-    """Record the result of a release call; if it was not acknowledged, call the next endpoint."""
+    """Record the result of a release call; if the call was not acknowledged, call the next endpoint."""
     calls = request.lease.schedule.calls
     call = None if calls is None else calls.running.pop(event.call_number, None)
     if calls is None or call is None:
--- a/llm_router/lifecycle/request.py
+++ b/llm_router/lifecycle/request.py
@@ -53,7 +53,7 @@
     state: RequestState = RequestState.PENDING
     # The decode endpoint of the latest reservation call.
     reservation_endpoint_id: int | None = None
-    # The number of release calls made so far, which is also the number of the next one.
+    # The number of release calls made so far, which is also the number of the next release call.
     release_call_count: int = 0
     # The time at which the request's earliest ReleaseTimer fires, or None if none is set.
     release_timer_at: timedelta | None = None
--- a/llm_router/lifecycle/reservation_events.py
+++ b/llm_router/lifecycle/reservation_events.py
@@ -57,7 +57,7 @@
 def _check_arrival(
     state: RouterState, now: timedelta, request: Request, index: int
 ) -> Iterator[effects.Effect]:
-    """Check whether a prefill has arrived, after a decode endpoint answered that it does not know it.
+    """Check whether a prefill has arrived, after a decode endpoint answered that the prefill is unknown.
 
     The first time, repeat the reservation call, because it may have overtaken the prefill. The second time,
     set a timer after which the prefill counts as missing unless it is answered."""
--- a/llm_router/lifecycle/start_times.py
+++ b/llm_router/lifecycle/start_times.py
@@ -41,7 +41,8 @@
     # An endpoint may have started up to this long before the last answer of discovery.
     max_list_delay: timedelta = timedelta()
     listed: dict[str, StartTime] = field(default_factory=dict)
-    removed: dict[str, RemovedStartTime] = field(default_factory=dict)  # by name, oldest removal first
+    # The removed endpoints by name, in the order of their removal.
+    removed: dict[str, RemovedStartTime] = field(default_factory=dict)
 
     def effective_start(
         self, name: str, reported: timedelta, now: timedelta, since_last_answer: timedelta | None
@@ -49,9 +50,9 @@
         """Record a reported start time, and return the start time to use on the router's clock.
 
         `since_last_answer` is the time since the last answer of discovery, or None if this is the first
-        answer. A start that the last answer did not contain happened after that answer, or at most
-        `max_list_delay` before it. An earlier reported time is replaced by the time of that answer. If the
-        same start time is reported again, the result stays the same."""
+        answer. If the last answer did not contain a start, the endpoint cannot have started more than
+        `max_list_delay` before that answer. An earlier reported time is wrong, and the time of that answer is
+        used instead. If the same start time is reported again, the result stays the same."""
         if reported == NO_START_TIME:
             self.listed.pop(name, None)
             return NO_START_TIME
--- a/llm_router/transport/acceptor.py
+++ b/llm_router/transport/acceptor.py
@@ -30,8 +30,8 @@
     """Accepts connections on a listening socket and closes the socket at the end.
 
     It replaces asyncio's own server, which pauses for a second when descriptors or memory run out.
-    Connections in the kernel's accept queue would miss their deadlines during that pause. They would be reset
-    if the listener closed first."""
+    Requests on connections in the kernel's accept queue would miss their deadlines during that pause. If the
+    listener closed during the pause, the kernel would reset these connections."""
 
     def __init__(self, listener: Listener, factory: Callable[[], asyncio.Protocol], batch_size: int) -> None:
         self._listener = listener
@@ -50,7 +50,7 @@
             return
         try:
             self._loop.add_reader(self._listener.fileno(), self._accept_batch)
-        except OSError as error:  # epoll_ctl failed: out of memory or epoll watches
+        except OSError as error:  # The call epoll_ctl failed because memory or epoll watches ran out.
             self._back_off(error)
             return
         self._state = AcceptorState.ACCEPTING
--- a/llm_router/transport/attempt_executor.py
+++ b/llm_router/transport/attempt_executor.py
@@ -42,7 +42,7 @@
 class LifecycleLink:
     """The functions with which attempts query the request lifecycle and send it events."""
 
-    # Returns the reason why an attempt may not be written at the given time, or None if it may.
+    # Returns the reason why an attempt may not be written at the given time, or None if it may be written.
     check: Callable[[timedelta, effects.OpenAttempt], Denial | None]
     feed: Callable[[events.Event], None]
 
--- a/llm_router/transport/client_connection.py
+++ b/llm_router/transport/client_connection.py
@@ -144,7 +144,7 @@
         elif data and self.is_idle:
             self.partial_head_since = self._loop.time()
         if self._messages and isinstance(self._messages[-1][0], _ErrInfo):
-            # Without this state each further piece of input would count as another malformed request.
+            # In the state OPEN, each further piece of input would count as another malformed request.
             self._enter(ConnectionState.INPUT_REJECTED)
 
     def pop_head_arrival(self, message: object) -> float:
@@ -175,7 +175,7 @@
 
     def eof_received(self) -> None:
         """Abort the connection if the client closes its sending side with a request unanswered."""
-        # A plain close would wait for unsent bytes while the request of a disconnected client goes on.
+        # A plain close would wait until unsent bytes are sent, and the client's request would run meanwhile.
         if not self.all_answered and self.transport is not None:
             self.transport.abort()
 
--- a/llm_router/transport/discovery.py
+++ b/llm_router/transport/discovery.py
@@ -44,7 +44,8 @@
     ) -> None:
         self._pool = pool
         self._address = address
-        self._read = read  # parses a response; raises ValueError if the whole list is malformed
+        # The function that parses a response. It raises ValueError if the whole list is malformed.
+        self._read = read
         self._feed = feed
         # The version of the endpoint list received last, or None if a full snapshot is needed.
         self.index: int | None = None
--- a/llm_router/transport/errors.py
+++ b/llm_router/transport/errors.py
@@ -1,6 +1,6 @@
 """The errors of calls to endpoints.
 
-Each class derives from an aiohttp error, so that code that handles aiohttp's errors also handles it."""
+Each class derives from an aiohttp error, so that handlers of aiohttp's errors also handle these errors."""
 
 from __future__ import annotations
 
--- a/llm_router/transport/event_loop.py
+++ b/llm_router/transport/event_loop.py
@@ -8,7 +8,8 @@
 import time
 from collections.abc import Callable
 
-# Seconds. A `select` call that took longer has blocked, so the input it reports has only just arrived.
+# Time in seconds after which a `select` call counts as blocked.
+# The input that a blocked call reports has only just arrived.
 BLOCKED_THRESHOLD = 0.0005
 
 
--- a/llm_router/transport/frontend_server.py
+++ b/llm_router/transport/frontend_server.py
@@ -26,9 +26,10 @@
 BODY_TIMEOUT = timedelta(seconds=2.6)
 # The client of a request that was queued for longer than this may have disconnected.
 DISCONNECT_CHECK_AFTER = timedelta(milliseconds=30)
-# Loop iterations in which a disconnect is read, the connection is lost and the handler is cancelled.
+# Number of loop iterations to wait for a client disconnect.
+# The disconnect is read, the connection is marked as lost, and the handler is cancelled in these iterations.
 DISCONNECT_CHECK_TURNS = 4
-INPUT_BUFFER_DIVISOR = 4  # ratio of the memory for bodies to that for input buffers
+INPUT_BUFFER_DIVISOR = 4  # ratio of the memory for bodies to the memory for input buffers
 ACCEPT_BATCH_SIZE = 16  # maximum number of connections accepted in one loop iteration
 BACKLOG = 512  # maximum number of connections in the accept queue
 
--- a/llm_router/transport/http_server.py
+++ b/llm_router/transport/http_server.py
@@ -30,7 +30,7 @@
 # The first request head of a connection younger than this may still be in transit.
 NEW_CONNECTION_AGE = timedelta(seconds=0.3)
 
-# Key of a request's earliest arrival time; its value is None if the body was not yet complete.
+# Key under which a request stores its earliest arrival time, or None if its body was not yet complete.
 WAITING_SINCE: web.RequestKey[float | None] = web.RequestKey(
     "waiting_since",
     float | None,  # type: ignore[arg-type]  # aiohttp uses the type only in the key's repr.
--- a/llm_router/transport/idle_connection_policy.py
+++ b/llm_router/transport/idle_connection_policy.py
@@ -24,7 +24,7 @@
     times in seconds."""
 
     def __init__(self, enabled: bool) -> None:
-        self._enabled = enabled  # is False if the configuration allows no idle connections
+        self._enabled = enabled  # Whether the configuration allows idle connections.
         self._suspended = False
         self.stale_at: deque[float] = deque(maxlen=STALE_THRESHOLD)  # times of the last stale connections
         self._backoff = to_seconds(INITIAL_BACKOFF)
--- a/llm_router/transport/listener.py
+++ b/llm_router/transport/listener.py
@@ -20,15 +20,15 @@
 class Listener(socket.socket):
     """A listening socket that estimates how long each connection waited in the kernel's accept queue.
 
-    Under many new connections the event loop accepts a few per iteration. The kernel does not report how long
-    the others wait, but this time counts against the deadlines of their requests."""
+    The event loop accepts only a few connections in one iteration. The kernel does not report how long the
+    other connections wait, but this time counts against the deadlines of their requests."""
 
     def __init__(self, *arguments: int) -> None:
         super().__init__(*arguments)
         # Earliest time of entry into the accept queue, by the descriptor of the accepted socket.
         self.waiting_since: dict[int, float] = {}
         self.drained = True  # Whether the last accept call found the queue empty.
-        # Earliest time since which the accept queue may have been non-empty throughout.
+        # Start of the longest time up to now during which the accept queue may never have been empty.
         self._queue_since = 0.0
         # Whether the last accept call failed. Connections queued at that time are still in the queue.
         self._accept_failed = False
@@ -44,8 +44,8 @@
         """Accept a connection; raise BlockingIOError if the queue is empty, another OSError on failure."""
         loop = asyncio.get_running_loop()
         count = select_count(loop)
-        # A `select` call since the last accept that did not report the socket shows that the queue was empty.
-        # After a failed accept call it shows nothing, because the loop did not watch the socket.
+        # If a `select` call since the last accept did not report the socket, the queue was empty then.
+        # This does not hold after a failed accept call, because the loop did not watch the socket then.
         if not self._accept_failed and (self.drained or count > self._last_select_count + 1):
             self._queue_since = input_since(loop)
         self._last_select_count = count
@@ -67,8 +67,8 @@
     def _earliest_arrival(self) -> float:
         """Return the earliest time at which the connection just accepted can have entered the accept queue.
 
-        If the queue was full throughout, this connection entered it when the one `backlog` places ahead was
-        accepted."""
+        If the queue was always full, this connection entered the queue when the connection that is `backlog`
+        places ahead was accepted."""
         is_full = len(self._accepted_at) == self._accepted_at.maxlen
         return self._accepted_at[0] if is_full else self._queue_since
 
--- a/llm_router/transport/pool.py
+++ b/llm_router/transport/pool.py
@@ -39,10 +39,14 @@
     path: str
     headers: Mapping[str, str] | None = None
     body: bytes | None = None
-    written: asyncio.Event | None = None  # is set once the first bytes may have been sent
-    connect_timeout: timedelta | None = None  # applies if it is shorter than the configured timeout
-    before_write: BeforeWrite | None = None  # is called once connected, just before the call is written
-    for_release: bool = False  # the call may take a socket that is reserved for releases
+    # This event is set once the first bytes may have been sent.
+    written: asyncio.Event | None = None
+    # This timeout applies if it is shorter than the configured connect timeout.
+    connect_timeout: timedelta | None = None
+    # The pool calls this hook after connecting, just before the call is written.
+    before_write: BeforeWrite | None = None
+    # Whether the call may use a socket that is reserved for release calls.
+    for_release: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -101,7 +105,7 @@
 
     def request(self, call: UpstreamCall) -> _RequestContextManager:
         """Make a call; return aiohttp's awaitable and context manager for the response."""
-        # The hook is set even if it is None, because a task inherits the hook of the task that created it.
+        # A hook of None is set as well, because a task inherits the hook of the task that created it.
         before_write.set(call.before_write)
         may_use_release_sockets.set(call.for_release)
         timeout = self.session.timeout
--- a/llm_router/transport/reservation_client.py
+++ b/llm_router/transport/reservation_client.py
@@ -36,16 +36,17 @@
         check: Callable[[effects.Reserve], Denial | None],
     ) -> None:
         self._pool = pool
-        # Returns the path for the reservation of a request, or None if the endpoints support none.
+        # Returns the path for the reservation of a request, or None if endpoints support no reservations.
         self._path = path
         self._feed = feed
-        # Returns the reason why a reservation may no longer be made, or None if it may.
+        # Returns the reason why a reservation may no longer be made, or None if it may still be made.
         self._check = check
 
     async def run(self, effect: effects.Reserve, prefill: RunningAttempt | None) -> None:
         """Make a reservation call once the prefill attempt is being written.
 
-        Before that no endpoint knows the request, and a reservation for it would be unknown."""
+        Before that, no endpoint knows the request, and the decode endpoint would answer that the prefill is
+        unknown."""
         outcome = ReservationOutcome.NOT_MADE
         try:
             path = self._path(effect.request_id)
--- a/llm_router/transport/resilient_socket.py
+++ b/llm_router/transport/resilient_socket.py
@@ -29,7 +29,7 @@
         errno.EPROTONOSUPPORT,
     )
 )
-MAX_CONNECT_CALLS = 8  # attempts before an interrupted connect fails
+MAX_CONNECT_CALLS = 8  # maximum number of connect() calls if signals interrupt them
 
 
 class LocalSocketError(OSError):
@@ -46,7 +46,7 @@
 class ResilientSocket(socket.socket):
     """A stream socket that tolerates temporary local errors.
 
-    If memory runs out, send and receive report that they would block, and asyncio retries them. If a connect
+    If memory runs out, `send` and `recv` report that they would block, and asyncio retries them. If `connect`
     cannot begin, it raises LocalSocketError instead of an error that means "connect in progress"."""
 
     def connect(self, address: tuple[Any, ...] | str | Buffer) -> None:
--- a/llm_router/transport/resource_limits.py
+++ b/llm_router/transport/resource_limits.py
@@ -48,7 +48,8 @@
     def __init__(self, max_sockets: int, release_sockets: int, drop_idle: Callable[[], int]) -> None:
         self.max_sockets = max_sockets
         self.release_sockets = release_sockets
-        self._drop_idle = drop_idle  # closes idle connections and returns their number
+        # The function that closes idle connections and returns their number.
+        self._drop_idle = drop_idle
         self._open: WeakSet[socket.socket] = WeakSet()
 
     def open(self, info: AddrInfoType) -> socket.socket:
@@ -57,7 +58,7 @@
         if not may_use_release_sockets.get():
             limit -= self.release_sockets
         if len(self._open) >= limit:
-            # Closed sockets stay in memory until a garbage collection, and must not count.
+            # Closed sockets stay in memory until a garbage collection, and must not count as open.
             self._open = WeakSet(each for each in self._open if each.fileno() >= 0)
         # A dropped connection closes with a delay, so the limit may be exceeded for a moment.
         if len(self._open) >= limit and not self._drop_idle():
--- a/llm_router/transport/running_attempts.py
+++ b/llm_router/transport/running_attempts.py
@@ -24,7 +24,8 @@
     """A running attempt with its task."""
 
     task: AttemptTask
-    written: asyncio.Event  # is set once the first bytes may have been sent, at the latest when the task ends
+    # This event is set once the first bytes may have been sent, at the latest when the task ends.
+    written: asyncio.Event
     ended: bool = False
 
 
--- a/llm_router/transport/runtime.py
+++ b/llm_router/transport/runtime.py
@@ -32,7 +32,7 @@
 
 # Interval at which shutdown checks whether the last KV leases have been released.
 IDLE_POLL_INTERVAL = timedelta(milliseconds=5)
-# Bounds the wait for releases at shutdown, because there may be no endpoint left to acknowledge them.
+# Time limit for releases at shutdown. Without it, shutdown could wait forever if no endpoint is left to call.
 IDLE_WAIT_TIMEOUT = timedelta(seconds=6)
 
 
--- a/llm_router/transport/shutdown.py
+++ b/llm_router/transport/shutdown.py
@@ -11,11 +11,13 @@
 from llm_router.transport.clock import to_seconds
 from llm_router.transport.http_server import HttpServer
 
-# Time after SIGTERM during which connections are accepted. Clients connect for up to 0.2 to 0.4 s after it.
+# Time after SIGTERM during which new connections are accepted.
+# Clients may still connect for up to 0.2 to 0.4 s after SIGTERM.
 GRACE_PERIOD = timedelta(seconds=0.5)
 # Time limit for accepting the connections in the accept queue.
 ACCEPT_TIMEOUT = timedelta(milliseconds=300)
-ACCEPT_TIMEOUT_FAILING = timedelta(seconds=2)  # replaces ACCEPT_TIMEOUT while accept calls fail
+# This time limit replaces ACCEPT_TIMEOUT while accept calls fail.
+ACCEPT_TIMEOUT_FAILING = timedelta(seconds=2)
 CLOSE_TIMEOUT = timedelta(seconds=2)  # time limit for connections to send their last bytes and close
 POLL_INTERVAL = 0.005  # seconds between two checks of a phase's end
 
@@ -36,7 +38,8 @@
 
     def __init__(self, http_server: HttpServer, open_requests: Callable[[], int]) -> None:
         self._http_server = http_server
-        self._open_requests = open_requests  # returns the number of requests being handled
+        # The function that returns the number of requests being handled.
+        self._open_requests = open_requests
         self._loop = asyncio.get_running_loop()
         self.phase = ShutdownPhase.SERVING
 
--- a/llm_router/transport/upstream_connection.py
+++ b/llm_router/transport/upstream_connection.py
@@ -44,7 +44,8 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_stale: Callable[[float], None]) -> None:
         super().__init__(loop)
-        self._on_stale = on_stale  # is called with the idle time in seconds if the connection is stale
+        # If the connection is stale, this function is called with the idle time in seconds.
+        self._on_stale = on_stale
         self._last_received = 0.0  # event loop time in seconds of the last received bytes, or 0
         self._idle_seconds = 0.0  # idle time in seconds before the current request; 0 for the first request
         # The body of the awaited response, once its head is complete.
