--- a/llm_router/routing/settings.py
+++ b/llm_router/routing/settings.py
@@ -104,33 +104,35 @@
     overload_window: int = 0
 
     def __post_init__(self) -> None:
-        """Validate the settings; raise ValueError with the name of an invalid setting."""
+        """Validate the settings; raise ValueError with the operator's key of an invalid setting."""
         if not any(kind.role is not Role.PREFILL for kind in self.kinds):
-            raise ValueError("kinds must include a decode kind or a mixed kind")
+            raise ValueError("family_info.duty_by_kind: must be write or both for at least one kind")
         if not self.classes:
-            raise ValueError("classes must not be empty")
+            raise ValueError("lanes: must not be empty")
         if self.router_count < 1:
-            raise ValueError(f"routers must be at least 1, got {self.router_count}")
+            raise ValueError(f"balancers: must be at least 1, got {self.router_count}")
         if not 0 < self.slow_start_share <= 1:
-            raise ValueError(f"cold_share must be above 0 and at most 1, got {self.slow_start_share}")
+            raise ValueError(f"rules.cold_share: must be above 0 and at most 1, got {self.slow_start_share}")
         if self.max_attempts is not None and self.max_attempts < 1:
-            raise ValueError(f"max_attempts must be at least 1, got {self.max_attempts}")
+            raise ValueError(f"allowed.attempts_cap: must be at least 1, got {self.max_attempts}")
         times = {
             "tick": self.timer_resolution,
-            "answer_slack": self.answer_grace,
-            "release_within": self.release_timeout,
-            "drain_grace": self.drain_grace,
-            "cold": self.slow_start_window,
-            "fall": self.overload_window,
-            "max_retry_after": self.max_retry_after,
+            "rules.answer_slack": self.answer_grace,
+            "family_info.release_within": self.release_timeout,
+            "rules.drain_grace": self.drain_grace,
+            "rules.cold": self.slow_start_window,
+            "rules.fall": self.overload_window,
+            "allowed.max_retry_after": self.max_retry_after,
         }
         for request_class in self.classes:
-            path = f"classes.{request_class.name}"
-            times[f"{path}.aim"] = request_class.latency_objective
-            times[f"{path}.deadline"] = request_class.deadline
-            times[f"{path}.window"] = request_class.deduplication_window
-            times[f"{path}.aim_per_1000"] = request_class.objective_per_1000_tokens
-            times[f"{path}.token_aim"] = request_class.token_interval
+            path = f"lanes {request_class.name}"
+            times[f"{path}: target"] = request_class.latency_objective
+            times[f"{path}: hard_limit"] = request_class.deadline
+            times[f"{path}: window"] = request_class.deduplication_window
+            times[f"{path}: family_info.aim_us_per_1000_prompt_tokens"] = (
+                request_class.objective_per_1000_tokens
+            )
+            times[f"{path}: family_info.token_aim"] = request_class.token_interval
         for name, nanoseconds in times.items():
             if (nanoseconds or 0) < 0:
-                raise ValueError(f"{name} must not be negative, got {nanoseconds} ns")
+                raise ValueError(f"{name}: must not be negative, got {nanoseconds} ns")
--- a/tests/routing/test_protocol_rules.py
+++ b/tests/routing/test_protocol_rules.py
@@ -291,13 +291,13 @@
 @pytest.mark.parametrize(
     ("change", "name"),
     [
-        ({"kinds": (KindSettings("prefill", Role.PREFILL),)}, "kinds"),
-        ({"classes": ()}, "classes"),
-        ({"router_count": 0}, "routers"),
-        ({"slow_start_share": 0.0}, "cold_share"),
-        ({"max_attempts": 0}, "max_attempts"),
-        ({"release_timeout": -1}, "release_within"),
-        ({"classes": (ClassSettings("c", -1, 1, Idempotency.SAFE),)}, "aim"),
+        ({"kinds": (KindSettings("prefill", Role.PREFILL),)}, "family_info.duty_by_kind"),
+        ({"classes": ()}, "lanes"),
+        ({"router_count": 0}, "balancers"),
+        ({"slow_start_share": 0.0}, "rules.cold_share"),
+        ({"max_attempts": 0}, "allowed.attempts_cap"),
+        ({"release_timeout": -1}, "family_info.release_within"),
+        ({"classes": (ClassSettings("c", -1, 1, Idempotency.SAFE),)}, "lanes c: target"),
     ],
 )
 def test_invalid_settings_are_named(change, name):
--- a/tests/simulator/test_simulator_codecs.py
+++ b/tests/simulator/test_simulator_codecs.py
@@ -162,7 +162,7 @@
         (batch(START.replace("records=2", "records=3")), 6, "entry"),
         (batch(START.replace("slot=0\n", "slot=4\n")), 6, "slot"),
         (batch("bell router_id=router-9 handle=1\n"), 2, "router-9"),
-        (batch(START.replace("duty_by_kind=read,write", "duty_by_kind=read,read")), 2, "kinds"),
+        (batch(START.replace("duty_by_kind=read,write", "duty_by_kind=read,read")), 2, "duty_by_kind: must"),
         ("begin_batch clock=5\n", 1, "ends"),
     ],
 )
