--- a/benchmarks/fleet_footprint.py
+++ b/benchmarks/fleet_footprint.py
@@ -80,9 +80,8 @@
         self._size = size
         self._oracle = Oracle(RELEASE_TIMEOUT, DRAIN_GRACE)
         self._registry = EndpointRegistry(self._oracle.drains)
-        self._started: list[
-            EmulatedEndpoint
-        ] = []  # in start order; only the last `size` endpoints are listed
+        # The endpoints in start order; only the last `size` of them are in the endpoint list.
+        self._started: list[EmulatedEndpoint] = []
         spec = RouterSpec("n0", router_settings(ROUTERS, 0, Customer(reservations=True)), folder)
         self._router = RouterProcess(self._oracle, self._registry, spec)
         self._clients = LoadGenerator(self._oracle, self._router, CLASSES, seed=1)
--- a/llm_router/__main__.py
+++ b/llm_router/__main__.py
@@ -21,7 +21,7 @@
 def main(arguments: list[str]) -> int:
     """Load the configuration and serve; return the exit code.
 
-    It is 2 if the configuration is invalid, 1 if the router cannot listen at its address, and otherwise 0."""
+    The exit code is 2 for an invalid configuration, 1 if the router cannot listen at its address, else 0."""
     log.occupy_standard_streams()
     library_log.install()
     standalone_file = _parse_arguments(arguments)
--- a/llm_router/frontends/kserve/inference_request.py
+++ b/llm_router/frontends/kserve/inference_request.py
@@ -45,7 +45,7 @@
 
 
 def _inference_header_length(headers: Mapping[str, str], body: bytes) -> int:
-    """Return the length in bytes of a body's JSON part; it is the whole body unless a header states less."""
+    """Return the length in bytes of a body's JSON part; without the header, the whole body is JSON."""
     text = headers.get(INFERENCE_HEADER_LENGTH, str(len(body)))
     try:
         length = int(text) if text.isascii() and text.isdecimal() else None
--- a/llm_router/frontends/kserve/proxied_request.py
+++ b/llm_router/frontends/kserve/proxied_request.py
@@ -20,7 +20,7 @@
 # The router copies these headers from a request to an endpoint and from a response to a client.
 FORWARDED_HEADERS = ("Content-Type", INFERENCE_HEADER_LENGTH)
 # An endpoint states with this header that it did not run a request.
-# KServe v2 has no such header, so the name is the one in the platform's protocol.
+# KServe v2 defines no such header; the platform's protocol uses the same name.
 NOT_PROCESSED = "X-Unprocessed"
 # These statuses are returned to the client without a retry: each endpoint would answer the request alike.
 CLIENT_ERRORS = range(400, 500)
--- a/llm_router/frontends/platform/endpoint_response.py
+++ b/llm_router/frontends/platform/endpoint_response.py
@@ -10,7 +10,7 @@
 from llm_router.routing.events import NO_REPORT, AttemptStatus
 from llm_router.transport.frontend_protocol import ResponseHead, ResponseTail
 
-# HTTP statuses: a stream of events follows, the prefill is complete, the endpoint does not have the KV state.
+# HTTP statuses for the start of an event stream, a finished prefill, and KV state that the endpoint lacks.
 STREAM, PREFILLED, STATE_MISSING = 200, 202, 410
 # With these statuses an endpoint may state that it did not process the request.
 NOT_PROCESSED_STATUSES = (STATE_MISSING, 503, 504)
--- a/llm_router/frontends/registry_list.py
+++ b/llm_router/frontends/registry_list.py
@@ -110,7 +110,7 @@
         return ""
 
     def start_ms(self) -> object:
-        """Return the start time as received, and report a malformed one.
+        """Return the start time as received, and report a malformed start time.
 
         `parse_start_time` treats a malformed start time as a start at the present moment."""
         value: object = self._entry.get("since_ms", 0)
--- a/llm_router/library_log.py
+++ b/llm_router/library_log.py
@@ -14,7 +14,7 @@
         """Log a record of a library; `logging` calls this method."""
         try:
             text = record.getMessage()
-        except (TypeError, ValueError):  # The format does not fit its arguments.
+        except (TypeError, ValueError):  # The format string does not match the arguments.
             text = str(record.msg)
         error = record.exc_info and repr(record.exc_info[1])
         log.emit("library", logger=record.name, level=record.levelname, text=text, error=error)
--- a/llm_router/log.py
+++ b/llm_router/log.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class RateLimitState:
-    """The monotonic time in seconds at which an event was last logged, and the lines suppressed since."""
+    """The monotonic time in seconds of an event's last line, and the number of lines suppressed since."""
 
     logged_at: float = float("-inf")
     suppressed: int = 0
@@ -39,7 +39,7 @@
 
 
 _queue = LogQueue(STANDARD_ERROR, lambda count: encode("log_lines_dropped", {"lines": count}))
-_rate_limits: dict[str, RateLimitState] = {}  # by event name
+_rate_limits: dict[str, RateLimitState] = {}  # rate limit states by event name
 
 
 def emit(event: str, **fields: object) -> None:
@@ -48,9 +48,10 @@
 
 
 def emit_rate_limited(event: str, **fields: object) -> None:
-    """Log an event at most once a second; the field `more` is the number of lines suppressed since the last.
+    """Log an event at most once a second.
 
-    Without the limit a flood of events would fill the log and take up the router's only core."""
+    The field `more` of a line is the number of lines suppressed since the previous logged line.
+    Without the limit, a flood of events would fill the log and take up the router's only core."""
     state = _rate_limits.setdefault(event, RateLimitState())
     now = time.monotonic()
     if now - state.logged_at < RATE_LIMIT_INTERVAL.total_seconds():
@@ -63,7 +64,7 @@
 
 
 def flush() -> None:
-    """Wait until all lines are written, at most for FLUSH_TIMEOUT."""
+    """Wait until all lines are written, but for at most FLUSH_TIMEOUT."""
     _queue.flush(FLUSH_TIMEOUT)
 
 
--- a/llm_router/log_queue.py
+++ b/llm_router/log_queue.py
@@ -99,7 +99,7 @@
     def _take(self) -> QueuedLine:
         """Wait for the next line and take it from the queue."""
         with self._changed:
-            # Without a consumer the report would be dropped and reported again, in an endless loop.
+            # Without a consumer, each report of dropped lines would be dropped and cause another report.
             if not self._lines and self._delivered:
                 self._append_dropped_line()
             while not self._lines:
@@ -124,7 +124,7 @@
         return True
 
     def _wait_until_writable(self) -> None:
-        """Wait until a non-blocking descriptor is writable, at most for RETRY_INTERVAL."""
+        """Wait until a non-blocking descriptor is writable, but for at most RETRY_INTERVAL."""
         poll = select.poll()
         poll.register(self.descriptor, select.POLLOUT)
         poll.poll(RETRY_INTERVAL // timedelta(milliseconds=1))
--- a/llm_router/routing/actions.py
+++ b/llm_router/routing/actions.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Release the KV state and reservations of a request, except what one of its running attempts needs."""
+    """Release the KV state and reservations of a request, except those that its running attempt needs."""
 
     request_id: str
 
@@ -52,7 +52,7 @@
     DEADLINE_EXCEEDED = "deadline_exceeded"
     # The attempt limit, the class's idempotency or the deduplication window allows no further attempt.
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
-    # No endpoint for prefill, or none for decode, accepts new requests soon enough for this one.
+    # No prefill endpoint, or no decode endpoint, accepts new requests before this request would be late.
     NO_ENDPOINT_IN_TIME = "no_endpoint_in_time"
     # The expected wait in the endpoints' queues would make the request late.
     QUEUEING_DELAY = "queueing_delay"
--- a/llm_router/routing/admission.py
+++ b/llm_router/routing/admission.py
@@ -23,7 +23,7 @@
 MAX_WAIT_SHARE_OVER_QUOTA = 0.4
 # The factor on both limits for a request that is a client's retry. Another router instance may have capacity.
 RETRY_WAIT_FACTOR = 0.5
-# If no endpoint has a required role, one is expected this many nanoseconds after the maximum wait.
+# Nanoseconds after the maximum wait at which an endpoint is expected if none has a required role.
 NO_ENDPOINT_DELAY = SECOND
 
 
--- a/llm_router/routing/append_prefill.py
+++ b/llm_router/routing/append_prefill.py
@@ -21,12 +21,12 @@
 # The weights of the two relative gains in the score have no unit. They are equal in the PPD paper.
 FIRST_TOKEN_WEIGHT = 1.0
 TOKEN_INTERVAL_WEIGHT = 1.0
-# Append-prefill requires a smaller share of new tokens in the prompt than this.
+# Append-prefill is used only if the share of new tokens in the prompt is below this value.
 # A longer prefill would delay the streams at the decode endpoint.
 MAX_NEW_TOKEN_SHARE = 0.25
-# Append-prefill requires that the endpoint has at most this multiple of the median streams per endpoint.
+# Append-prefill is used only if the endpoint has at most this multiple of the median streams per endpoint.
 MAX_STREAMS_FACTOR = 2.0
-# While an average has no sample, append-prefill requires fewer new tokens than this.
+# While an average has no sample, append-prefill is used only for fewer new tokens than this number.
 MAX_NEW_TOKENS_UNMEASURED = 2000
 # The probability that a remote prefill replaces an append-prefill, to update the averages of remote prefill.
 EXPLORATION_SHARE = 0.03
@@ -41,7 +41,9 @@
 
 @dataclass(slots=True)
 class PathAverages:
-    """The mean time to the first token and mean token interval of a path, in nanoseconds."""
+    """The mean time to the first token and the mean token interval of one path, in nanoseconds.
+
+    The paths are append-prefill and remote prefill, in one workload bucket."""
 
     first_token: MovingAverage = field(default_factory=MovingAverage)
     token_interval: MovingAverage = field(default_factory=MovingAverage)
@@ -53,7 +55,7 @@
 
 
 class AppendPrefill:
-    """The selector of append-prefill, which compares the averages of both paths in a workload bucket."""
+    """The selector between append-prefill and remote prefill, by their averages in a workload bucket."""
 
     def __init__(
         self, context: PolicyContext, candidates: CandidateSubset, estimates: PrefillEstimates
@@ -138,7 +140,7 @@
 
 
 def _relative_gain(append: MovingAverage, remote: MovingAverage) -> float:
-    """Return by what share the average of append-prefill is lower than that of remote prefill."""
+    """Return the share by which the average of append-prefill is below that of remote prefill."""
     append_value = append.value or 0.0
     remote_value = remote.value or 0.0
     return (remote_value - append_value) / max(1, remote_value)
--- a/llm_router/routing/attempt_dispatch.py
+++ b/llm_router/routing/attempt_dispatch.py
@@ -37,7 +37,7 @@
         self.reservations = reservations
 
     def send_prefill(self, request: TrackedRequest, endpoints: Iterable[EndpointState]) -> bool:
-        """Send the request to the first allowed endpoint; return whether there was one.
+        """Send the request to the first allowed endpoint; return False if no endpoint is allowed.
 
         A prefill endpoint only prefills the request; a mixed endpoint also decodes it."""
         return any(
@@ -45,7 +45,7 @@
         )
 
     def send_decode(self, request: TrackedRequest, endpoints: Iterable[EndpointState]) -> bool:
-        """Send the request for decoding to the first allowed endpoint; return whether there was one."""
+        """Send the request for decoding to the first allowed endpoint; return False if none is allowed."""
         return any(self._send(request, endpoint, is_prefill=False) for endpoint in endpoints)
 
     def _send(self, request: TrackedRequest, endpoint: EndpointState, *, is_prefill: bool) -> bool:
--- a/llm_router/routing/candidate_subset.py
+++ b/llm_router/routing/candidate_subset.py
@@ -98,8 +98,8 @@
     def accepts(self, endpoint: EndpointState, tenant_class: TenantClass) -> bool:
         """Return whether a `READY` endpoint may get new work of a tenant and class.
 
-        After its ejection ends, an endpoint gets a single request until it has answered one. An endpoint that
-        is overloaded for a tenant and class gets none of their requests, but may have capacity for others."""
+        After its ejection ends, an endpoint gets a single request until it has answered a request. An
+        endpoint that is overloaded for a tenant and class gets no requests of this tenant and class."""
         if self.context.now < endpoint.available_at(tenant_class):
             return False
         on_trial = endpoint.consecutive_ejections > 0
--- a/llm_router/routing/endpoint_state.py
+++ b/llm_router/routing/endpoint_state.py
@@ -93,7 +93,7 @@
         self.overloaded_until.clear()
 
     def available_at(self, tenant_class: TenantClass) -> int:
-        """Return from when the endpoint is neither ejected nor overloaded for a tenant and class."""
+        """Return the time when the endpoint's ejection and its overload for a tenant and class have ended."""
         return max(self.ejected_until, self.overloaded_until.get(tenant_class, 0))
 
     @property
--- a/llm_router/routing/events.py
+++ b/llm_router/routing/events.py
@@ -31,7 +31,7 @@
 
 
 class ConnectionFault(Enum):
-    """The cause of a failed connect or a connection reset, if it is not the endpoint."""
+    """The cause of a connect failure or connection reset, if the endpoint did not cause it."""
 
     NONE = auto()  # The endpoint refused or reset the connection.
     STALE = auto()  # The attempt used an idle pooled connection, which the endpoint may have closed as idle.
@@ -90,8 +90,8 @@
 class RequestReceived:
     """A client's request has arrived; the policy gives it exactly one final answer.
 
-    `prefix` identifies a prefix that the prompt shares with other prompts; it has `prefix_tokens` tokens.
-    `expected_duration` is the expected duration of the response. `resumed` tells that the response stream was
+    `prefix` identifies a prefix of `prefix_tokens` tokens that the prompt shares with other prompts.
+    `expected_duration` is the expected duration of the response. `resumed` is True if the response stream was
     migrated from another router instance."""
 
     request_id: str
@@ -122,10 +122,10 @@
 class AttemptEnded:
     """An attempt has ended.
 
-    `request_closed` tells that the client has its final answer or has disconnected.
-    `cached_tokens` counts the prompt tokens that the endpoint found in its cache, with OK and PREFILLED.
-    `state_missing` tells, with OVERLOADED, that the decode endpoint could not find the KV state to fetch.
-    `connection_fault` gives the cause of a connection failure, with RESET and CONNECT_FAILED."""
+    `request_closed` is True if the client has its final answer or has disconnected.
+    `cached_tokens` counts the prompt tokens found in the endpoint's cache, if the status is OK or PREFILLED.
+    `state_missing` is True if the status is OVERLOADED because the decode endpoint did not find the KV state.
+    `connection_fault` is the cause of a connection failure, if the status is RESET or CONNECT_FAILED."""
 
     request_id: str
     attempt: int
@@ -141,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReservationResult:
-    """The answer of a decode endpoint to a Reserve action: whether it made the reservation."""
+    """A decode endpoint has answered a reservation request; `reserved` is True if it made the reservation."""
 
     request_id: str
     attempt: int
--- a/llm_router/routing/gossip.py
+++ b/llm_router/routing/gossip.py
@@ -16,7 +16,7 @@
 
 MAX_LOCAL_SYMPTOM_TIME = 120 * SECOND  # longest effect of a symptom observed by this router, in nanoseconds
 # The effect of a symptom received as gossip lasts for a random time of at most RECENT_SPAN.
-# The minimum of that random time is this share of RECENT_SPAN.
+# The minimum duration of the effect of a received symptom is this share of RECENT_SPAN.
 MIN_RECEIVED_SYMPTOM_SHARE = 0.5
 
 
--- a/llm_router/routing/gossip_codec.py
+++ b/llm_router/routing/gossip_codec.py
@@ -24,7 +24,8 @@
 class SymptomMessage:
     """A gossip message with a symptom of an endpoint.
 
-    `tenant_class_index` stands for a tenant and class, in the order of the settings; 0 stands for none."""
+    `tenant_class_index` is the index of a tenant and class in the order of the settings.
+    An index of 0 means that the symptom concerns no particular tenant and class."""
 
     symptom: Symptom
     endpoint_id: int
--- a/llm_router/routing/outlier_ejection.py
+++ b/llm_router/routing/outlier_ejection.py
@@ -23,7 +23,7 @@
 
         Each consecutive ejection lasts longer than the one before."""
         # In a large fleet, the selection of candidates draws a random number.
-        # Its result is not used here; the draw keeps the random sequence independent of the ejection state.
+        # The candidates are not used; the draw keeps the random sequence independent of the ejection state.
         self.candidates.candidates((endpoint.role,))
         if self.context.now < endpoint.ejected_until:
             return False
--- a/llm_router/routing/policy.py
+++ b/llm_router/routing/policy.py
@@ -48,7 +48,7 @@
 
 
 class RoutingPolicy:
-    """The routing policy of one router instance: it takes events and returns actions, without any I/O."""
+    """The routing policy of one router instance: it handles events and returns actions, without any I/O."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Build the policy; `seed` initializes its random generator."""
--- a/llm_router/routing/prefill_overflow.py
+++ b/llm_router/routing/prefill_overflow.py
@@ -14,7 +14,7 @@
 from llm_router.routing.tracked_request import TrackedRequest
 
 # Decode endpoints get no prefill work if more than this share of the recent reservation requests was denied.
-# Such a high share means that no decode endpoint is idle.
+# A share of denied requests above this limit means that no decode endpoint is idle.
 MAX_RESERVATION_DENIAL_SHARE = 0.75
 # The longest prompt that an endpoint of each role prefills, as a multiple of the mean prompt length.
 # A longer prefill would delay the streams at the endpoint.
--- a/llm_router/routing/prefill_selection.py
+++ b/llm_router/routing/prefill_selection.py
@@ -126,7 +126,7 @@
             first = self._replica(request, request.received.prefix, self.index.count(*PREFILL_ROLES))
         if first >= MAX_CANDIDATES:
             # Replicas with high numbers have ring positions of their own.
-            # Otherwise the walk from the position of the prefix would get longer as the fleet grows.
+            # A walk from the position of the prefix to such a replica would get longer as the fleet grows.
             key = f"{key} {first}"
         start = first % MAX_CANDIDATES
         walk = self.ring.walk(key)
--- a/llm_router/routing/prefix_popularity.py
+++ b/llm_router/routing/prefix_popularity.py
@@ -21,7 +21,7 @@
         self.requests: dict[str, DecayingCounter] = {}  # request counters by prefix, ordered by last update
 
     def record(self, prefix: str | None) -> None:
-        """Count a request in the counter of its prefix and in that of all requests."""
+        """Count a request in the counter of its prefix and in the counter of all requests."""
         for key in dict.fromkeys((ALL_REQUESTS, prefix or ALL_REQUESTS)):
             self.requests[key] = self.requests.pop(key, DecayingCounter(POPULARITY_SPAN))
             self.requests[key].add(self.context.now)
--- a/llm_router/routing/queueing_delay.py
+++ b/llm_router/routing/queueing_delay.py
@@ -59,7 +59,7 @@
         return self.load_probes.has_report(endpoint)
 
     def _decayed_delay(self, endpoint: EndpointState) -> int:
-        """Return the last measured delay, reduced linearly with its age; an old one gives a value below 0."""
+        """Return the last measured delay, reduced linearly with its age; for an old delay it is below 0."""
         measured = endpoint.queueing_delay
         if measured <= 0:
             return 0
--- a/llm_router/routing/request_path.py
+++ b/llm_router/routing/request_path.py
@@ -45,5 +45,5 @@
             self.send_overflow(request)
 
     def send_overflow(self, request: TrackedRequest) -> bool:
-        """Send a request to a decode endpoint that also prefills it; return whether one accepted it."""
+        """Send a request to a decode endpoint that also prefills it; return whether it was sent."""
         return self.dispatcher.send_decode(request, self.prefill_overflow.endpoints(request))
--- a/llm_router/routing/request_progress.py
+++ b/llm_router/routing/request_progress.py
@@ -16,7 +16,7 @@
 
 
 class RequestProgress:
-    """Takes the next step of each request without an open attempt: send, wait, release or end."""
+    """Sends, delays, releases or ends each request that has no open attempt."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
             del self.requests[request.request_id]
 
     def _take_next_step(self, request: TrackedRequest) -> None:
-        """Send the request to an endpoint, let it wait, release its KV state, or end it."""
+        """Send the request to an endpoint, let the request wait, release its KV state, or end it."""
         reason = self._rejection_reason(request)
         is_prefilled = request.phase is RequestPhase.PREFILLED
         if reason is not None:
@@ -59,7 +59,7 @@
             self.path.send_next(request)
 
     def _rejection_reason(self, request: TrackedRequest) -> AnswerReason | None:
-        """Return the reason why no further attempt can be made in time, or None if one can."""
+        """Return the reason why no further attempt is possible in time, or None if an attempt is possible."""
         if self.context.now >= request.deadline - self.context.settings.timer_resolution:
             return AnswerReason.DEADLINE_EXCEEDED
         if not self.retry_policy.may_send(request):
--- a/llm_router/routing/session_affinity.py
+++ b/llm_router/routing/session_affinity.py
@@ -30,7 +30,7 @@
 class SessionAffinityTable:
     """The affinities by session id, or by prefix for requests without a session.
 
-    The entries are in the order of their last update, the latest last."""
+    The entries are ordered by the time of their last update, oldest first."""
 
     def __init__(self) -> None:
         self.entries: dict[str, SessionAffinity] = {}
--- a/llm_router/routing/silence_detection.py
+++ b/llm_router/routing/silence_detection.py
@@ -12,9 +12,9 @@
 from llm_router.routing.tracked_request import Attempt, TrackedRequest
 
 SILENCE_FACTOR = 6.0  # multiple of the mean response time of a phase after which an endpoint counts as silent
-# Lower bounds of the silence limit, as multiples of the shortest latency objective. The bound for a decode
-# attempt is higher because repeating it costs more.
+# Lower bounds of the silence limit, as multiples of the shortest latency objective.
 MIN_PREFILL_SILENCE = 0.5
+# The bound for a decode attempt is higher because repeating a decode attempt costs more.
 MIN_DECODE_SILENCE = 1.5
 
 
@@ -65,7 +65,7 @@
     def _check_overtaken(self, attempt: Attempt) -> None:
         """Cancel an attempt that was lost at an endpoint that answers others.
 
-        Without this, the request would wait until its deadline."""
+        Without this check, the request would wait until its deadline."""
         silent_for = self.context.now - attempt.sent_at
         if _is_repeatable(attempt) and silent_for > self._silence_limit(attempt):
             attempt.failed = True
--- a/llm_router/routing/tracked_request.py
+++ b/llm_router/routing/tracked_request.py
@@ -93,7 +93,7 @@
 
 
 class WorkloadBucket(NamedTuple):
-    """A group of similar requests; append-prefill is compared with the usual path within each group."""
+    """A group of similar requests; append-prefill is compared with remote prefill within each group."""
 
     long_context: bool
     prefill_heavy: bool  # The request has more new prompt tokens than expected output tokens.
@@ -181,7 +181,7 @@
 
     @property
     def replica_key(self) -> str:
-        """Return the key that selects one of the endpoints that cache the prefix: session or request id."""
+        """Return the session id, or else the request id; it selects an endpoint that caches the prefix."""
         return self.received.session or self.received.request_id
 
     @property
--- a/llm_router/service.py
+++ b/llm_router/service.py
@@ -84,7 +84,7 @@
 
         Raise StartError if the router cannot listen at its address."""
         stop_requested = asyncio.Event()
-        # The handlers come first because the server may accept requests as soon as it is started.
+        # The signal handlers are installed first because the server accepts requests as soon as it starts.
         signals.install(stop_requested.set, self.reload)
         try:
             await self._start()
