--- a/llm_router/routing/request_progress.py
+++ b/llm_router/routing/request_progress.py
@@ -16,7 +16,7 @@
 
 
 class RequestProgress:
-    """Sends, delays, releases or ends each request that has no open attempt."""
+    """Advances the requests without an open attempt: sends them, lets them wait or ends them."""
 
     def __init__(
         self,
